--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -38,7 +38,7 @@
 _REST: typing.Final = '(others)'
 _log = logs.Log('accounts')
 
-Announce = collections.abc.Callable[[tuple[messages.Used, ...]], None]
+UsageListener = collections.abc.Callable[[tuple[messages.Used, ...]], None]
 
 
 class Accounts:
@@ -62,8 +62,8 @@
         self._labels: set[ids.CustomerName] = set()
         self._low: tuple[messages.Level, ...] = ()
         self._looked_at = 0.0
-        self.announce: Announce = lambda used: None
-        self.size: collections.abc.Callable[[], int] = lambda: 1
+        self.on_usage: UsageListener = lambda used: None
+        self.gateway_count: collections.abc.Callable[[], int] = lambda: 1
         directory.on_change(self._configure)
 
     def _configure(self) -> None:
@@ -86,9 +86,9 @@
         )
         self._note(call.customer.name, call.units, denied)
         if denied is not None:
-            return failure(denied.why, denied.retry_after)
-        if self._quotas.must_tell(call.customer.name, self.size()):
-            self.announce(self.take_new())
+            return quota_failure(denied.why, denied.retry_after)
+        if self._quotas.must_tell(call.customer.name, self.gateway_count()):
+            self.on_usage(self.take_unreported())
         return None
 
     def refund(self, call: calls.Call) -> None:
@@ -105,7 +105,9 @@
         most = self._quotas.most(call.customer.name)
         if most is None or call.units <= most:
             return None
-        return failure(f'{call.units:.0f} units, {most:.0f} at most', None)
+        return quota_failure(
+            f'{call.units:.0f} units, {most:.0f} at most', None
+        )
 
     # Generations, counted by the owner.
 
@@ -140,27 +142,29 @@
             config=self._version,
         )
 
-    def give_back(self, customer: ids.CustomerName, units: float) -> None:
+    def refund_generation(
+        self, customer: ids.CustomerName, units: float
+    ) -> None:
         """Take back, as the owner, what a generation was granted."""
         self._quotas.give_back(customer, units, clock.now())
 
     # What gateways tell each other.
 
-    def decides_for(self, part: float) -> None:
+    def set_owned_share(self, part: float) -> None:
         """Note for which part of all gateways this one decides."""
         self._quotas.decide_for(part)
 
-    def take_new(self) -> tuple[messages.Used, ...]:
+    def take_unreported(self) -> tuple[messages.Used, ...]:
         """Return what was used here since the last call, for a beat."""
         untold = self._quotas.take_untold()
         return tuple(messages.Used(*item) for item in untold.items())
 
-    def take(self, used: tuple[messages.Used, ...]) -> None:
+    def add_reported(self, used: tuple[messages.Used, ...]) -> None:
         """Count what another gateway tells with its beat."""
         units = {one.customer: one.units for one in used}
         self._quotas.used_elsewhere(units, clock.now())
 
-    def levels(
+    def remaining(
         self, used: tuple[messages.Used, ...]
     ) -> tuple[messages.Level, ...]:
         """Return what is left to the customers of another gateway's calls."""
@@ -168,7 +172,7 @@
         levels = self._quotas.levels(names, clock.now())
         return tuple(messages.Level(*item) for item in levels.items())
 
-    def low(self) -> tuple[messages.Level, ...]:
+    def nearly_exhausted(self) -> tuple[messages.Level, ...]:
         """Return the customers that are short, for the answer to a beat."""
         now = clock.now()
         if now - self._looked_at > _LOOK_EVERY:
@@ -177,13 +181,13 @@
             self._low = tuple(messages.Level(*it) for it in levels.items())
         return self._low
 
-    def hear(self, low: tuple[messages.Level, ...]) -> None:
+    def apply_remaining(self, low: tuple[messages.Level, ...]) -> None:
         """Take what an owner tells."""
         levels = {one.customer: one.units for one in low}
         self._quotas.hear(levels, clock.now())
 
 
-def failure(why: str, retry_after: float | None) -> errors.Failure:
+def quota_failure(why: str, retry_after: float | None) -> errors.Failure:
     """Return what a caller is told whose customer has used its quota."""
     if retry_after is None:
         return errors.Failure(errors.ABOVE_QUOTA, why)
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -406,7 +406,7 @@
         if not self._sends.surely_not_run:
             return errors.Failure(errors.SEND_INTERRUPTED, given_up.why)
         if given_up.is_over_quota:
-            return accounts.failure(given_up.why, given_up.retry_after)
+            return accounts.quota_failure(given_up.why, given_up.retry_after)
         return means_module.refusal(
             errors.NO_TIME, given_up.why, given_up.retry_after
         )
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -143,8 +143,8 @@
         """Tell the parts that exchange words how others are reached."""
         self._directory.fed_by_peers = self._roster.fed_by_peers
         self._guard.announce = self._announce
-        self._accounts.announce = self._announce_used
-        self._accounts.size = lambda: self.size
+        self._accounts.on_usage = self._announce_used
+        self._accounts.gateway_count = lambda: self.size
         self._rate_limits.join(self)
         self._notices.tell_owner = self.tell_owner
 
@@ -241,7 +241,7 @@
             self._members.order.number,
             self._directory.hears_store,
             self._guard.tell(),
-            self._accounts.take_new(),
+            self._accounts.take_unreported(),
             self._rate_limits.tell(),
             self._notices.tell(),
             self._directory.upstreams_version.era,
@@ -252,7 +252,7 @@
             part = self._part(now)
         else:
             part = 1.0
-        self._accounts.decides_for(part)
+        self._accounts.set_owned_share(part)
         self._rate_limits.decides_for(part)
         self.tell_owner(message)
 
@@ -313,7 +313,7 @@
             self._meet(message.member, peer)
             self._hear(message.member, message)
             self._exchange.take(message.outcomes)
-            self._accounts.take(message.used)
+            self._accounts.add_reported(message.used)
             self._rate_limits.hear(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
             self._guard.hear(message.suspicions)
@@ -331,7 +331,7 @@
                     self._exchange.sums(),
                     self._members.order.number,
                     self._guard.tell(),
-                    self._accounts.low(),
+                    self._accounts.nearly_exhausted(),
                     self._rate_limits.tell(),
                     self._notices.tell(),
                     self._directory.upstreams_version.era,
@@ -355,7 +355,7 @@
             self._members.told_size(message.members)
             if name == self._members.owner(self.leaving, clock.now()):
                 self._exchange.hear(message.outcomes)
-            self._accounts.hear(message.low)
+            self._accounts.apply_remaining(message.low)
             self._rate_limits.hear(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
             self._guard.hear(message.suspicions)
@@ -407,11 +407,11 @@
         elif isinstance(message, messages.Leaving):
             self._notices.hear(message.upstreams)
         elif isinstance(message, messages.Spent):
-            self._accounts.take(message.used)
-            levels = self._accounts.levels(message.used)
+            self._accounts.add_reported(message.used)
+            levels = self._accounts.remaining(message.used)
             answer(name, messages.Left(levels))
         elif isinstance(message, messages.Left):
-            self._accounts.hear(message.levels)
+            self._accounts.apply_remaining(message.levels)
         else:
             self._handler(name, message)
 
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -110,7 +110,7 @@
         elif isinstance(message, messages.Withdraw):
             self._withdraw(message.stream, now)
         elif isinstance(message, messages.GivenBack):
-            self._accounts.give_back(message.customer, message.units)
+            self._accounts.refund_generation(message.customer, message.units)
         elif isinstance(
             message,
             messages.Prefilled | messages.Started | messages.Release,
@@ -123,7 +123,7 @@
         for dispatcher in self._dispatchers.values():
             job = dispatcher.withdraw(stream)
             if job is not None:
-                self._accounts.give_back(job.customer, job.units)
+                self._accounts.refund_generation(job.customer, job.units)
             dispatcher.release(stream, 0, 0.0, now)
 
     def figures(self) -> tuple[records.Figures, ...]:
@@ -331,7 +331,7 @@
                 retry_after=decision.retry_after,
                 why=decision.why,
             )
-            self._accounts.give_back(job.customer, job.units)
+            self._accounts.refund_generation(job.customer, job.units)
         if reply is not None:
             reply(word)
 
