--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -79,12 +79,12 @@
 
     def charge(self, call: calls.Call) -> errors.Failure | None:
         """Count a plain call; return why it may not run."""
-        if call.customer is None or not call.units:
+        if call.customer is None or not call.quota_units:
             return None
         denied = self._quotas.take(
-            call.customer.name, call.units, clock.now(), told=True
+            call.customer.name, call.quota_units, clock.now(), told=True
         )
-        self._note(call.customer.name, call.units, denied)
+        self._note(call.customer.name, call.quota_units, denied)
         if denied is not None:
             return quota_failure(denied.why, denied.retry_after)
         if self._quotas.must_tell(call.customer.name, self.gateway_count()):
@@ -93,20 +93,20 @@
 
     def refund(self, call: calls.Call) -> None:
         """Take back the charge of a plain call that did not run."""
-        if call.customer is not None and call.units:
+        if call.customer is not None and call.quota_units:
             self._quotas.give_back(
-                call.customer.name, call.units, clock.now(), told=True
+                call.customer.name, call.quota_units, clock.now(), told=True
             )
 
     def check_size(self, call: calls.Call) -> errors.Failure | None:
         """Return why a request can never run, if it is too large."""
-        if call.customer is None or not call.units:
+        if call.customer is None or not call.quota_units:
             return None
         most = self._quotas.most(call.customer.name)
-        if most is None or call.units <= most:
+        if most is None or call.quota_units <= most:
             return None
         return quota_failure(
-            f'{call.units:.0f} units, {most:.0f} at most', None
+            f'{call.quota_units:.0f} units, {most:.0f} at most', None
         )
 
     # Generations, counted by the owner.
--- a/galenahatch/gateway/calls.py
+++ b/galenahatch/gateway/calls.py
@@ -42,9 +42,9 @@
     """
 
     tokens: int
-    most_output: int
-    likely_output: int | None
-    subject: str
+    max_output: int
+    estimated_output: int | None
+    last_block_id: str
 
 
 @dataclasses.dataclass(frozen=True)
@@ -70,23 +70,23 @@
     headers: 'multidict.CIMultiDict[str]'
     body: bytes
     arrived_at: float
-    patience: float | None
+    caller_timeout: float | None
     prompt: Prompt | None
-    last_event: str
+    last_event_id: str
     tokens: int | None = None
     credentials: tuple[str, ...] = ()
-    is_identified: bool = False
+    credentials_checked: bool = False
     customer: customers.Customer | None = None
 
     @property
-    def caller(self) -> str:
+    def caller_id(self) -> str:
         """What tells whose request it is.
 
         Two keys of one customer stand for the same caller.
         """
         if self.customer is not None:
             return self.customer.name
-        if self.is_identified or not self.credentials:
+        if self.credentials_checked or not self.credentials:
             return ''
         return self.credentials[0]
 
@@ -103,7 +103,7 @@
         return self.customer.priority if self.customer is not None else None
 
     @property
-    def units(self) -> float:
+    def quota_units(self) -> float:
         """What it counts as in the quota of its customer."""
         if self.customer is None or self.customer.quota is None:
             return 0.0
@@ -116,7 +116,7 @@
         Its id is new each time. The parts are joined by a byte that none but
         the body can hold.
         """
-        parts = (self.caller, self.method, self.host, self.target, '')
+        parts = (self.caller_id, self.method, self.host, self.target, '')
         digest = hashlib.sha256(
             '\0'.join(parts).encode(errors='surrogateescape')
         )
@@ -125,7 +125,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Directions:
+class ForwardingOptions:
     """What this system tells the upstream beside the caller's request.
 
     Attributes:
@@ -138,15 +138,15 @@
     """
 
     upstream: ids.UpstreamId
-    patience: float | None
+    time_left: float | None
     prefill_only: bool = False
     kv_source: str = ''
-    last_event: str = ''
+    last_event_id: str = ''
     priority: int | None = None
 
 
 @dataclasses.dataclass(frozen=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an upstream's answer.
 
     Attributes:
@@ -168,11 +168,11 @@
 
     status: int
     headers: 'multidict.CIMultiDict[str]'
-    request: str
-    signed: bool
+    request_id: str
+    is_signed: bool
     not_executed: bool
     load: int | None
-    encoded: bool
+    is_encoded: bool
     rate_limit: float | None | errors.Failure = None
     leaving: bool | errors.Failure = False
     pause: float | None | errors.Failure = None
--- a/galenahatch/gateway/front.py
+++ b/galenahatch/gateway/front.py
@@ -72,7 +72,7 @@
         """The answer, once it has begun."""
         return self._response
 
-    async def begin(self, head: calls.AnswerHead) -> None:
+    async def begin(self, head: calls.ResponseHead) -> None:
         """Send the head."""
         response = web.StreamResponse(status=head.status, headers=head.headers)
         self._front.mark(response)
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -85,7 +85,7 @@
         self._spec = service.engine
         self._prompt = call.prompt
         self._sends = fate.Sends()
-        self._relay = relays.Relay(sink, call.last_event)
+        self._relay = relays.Relay(sink, call.last_event_id)
         self._avoid: list[ids.UpstreamId] = []
         self._end_by = means_module.end_by(call, route)
         self._decodes = 0
@@ -122,7 +122,7 @@
 
     def _give_back(self, failure: errors.Failure) -> None:
         """Return what the customer was charged for what has not run."""
-        units = self._call.units
+        units = self._call.quota_units
         if units and failure.outcome is errors.Outcome.NOT_RUN:
             self._means.ownership.give_back(self._call.customer_name, units)
 
@@ -155,7 +155,7 @@
 
     def _wish(self, stream: ids.StreamId, attempt: int) -> ownerships.Wish:
         made = self._relay.count * self._spec.stride
-        likely = self._prompt.likely_output or 0
+        likely = self._prompt.estimated_output or 0
         prompt, most = self._sizes()
         return ownerships.Wish(
             stream=stream,
@@ -166,7 +166,7 @@
             start_by=self._call.arrived_at + self._route.objective,
             leaves_at=means_module.leaves_at(self._call, self._route),
             deadline=self._end_by,
-            subject=self._prompt.subject,
+            subject=self._prompt.last_block_id,
             avoid=tuple(self._avoid),
             going_on=self._relay.has_reached_caller,
             is_read=bool(self._reader.source()),
@@ -175,14 +175,14 @@
             extra=self._reader.extra_sends() + (self._decodes > 0),
             is_suspect=self._means.guard.suspects(self._call),
             customer=self._call.customer_name,
-            units=self._call.units if attempt == 1 else 0.0,
+            units=self._call.quota_units if attempt == 1 else 0.0,
             priority=means_module.priority(self._call, self._route),
         )
 
     def _sizes(self) -> tuple[int, int]:
         """Return the tokens to read now, and those still made at most."""
         made = self._relay.count * self._spec.stride
-        most = max(self._spec.stride, self._prompt.most_output - made)
+        most = max(self._spec.stride, self._prompt.max_output - made)
         return self._prompt.tokens + made, most
 
     # One attempt.
@@ -267,11 +267,11 @@
         )
         self._means.ownership.hold(held, self._made)
         left = means_module.left(self._end_by)
-        directions = calls.Directions(
+        directions = calls.ForwardingOptions(
             engine.id,
             left,
             kv_source=self._reader.source(),
-            last_event=self._relay.last_event,
+            last_event_id=self._relay.last_event,
             priority=self._call.priority,
         )
         self._sends.begin()
@@ -336,7 +336,7 @@
     ) -> means_module.Whole | errors.Failure | prefill.Again | None:
         """Pass an answer on to its end."""
         head = answer.head
-        if head.status >= 300 or head.encoded or not head.signed:
+        if head.status >= 300 or head.is_encoded or not head.is_signed:
             body = await answer.body()
             if head.status < 500 and head.status >= 300 and body is not None:
                 return means_module.Whole(head, body)
--- a/galenahatch/gateway/means.py
+++ b/galenahatch/gateway/means.py
@@ -64,7 +64,7 @@
 class Whole:
     """A whole answer of an upstream."""
 
-    head: calls.AnswerHead
+    head: calls.ResponseHead
     body: bytes
 
 
@@ -76,7 +76,7 @@
         """Whether the caller has had the head of the answer."""
         ...
 
-    async def begin(self, head: calls.AnswerHead) -> None:
+    async def begin(self, head: calls.ResponseHead) -> None:
         """Send the head."""
         ...
 
@@ -88,8 +88,8 @@
 def end_by(call: calls.Call, route: routes.Route) -> float:
     """Return the moment at which a request must be answered."""
     patience = route.timeout
-    if call.patience is not None:
-        patience = min(patience, call.patience)
+    if call.caller_timeout is not None:
+        patience = min(patience, call.caller_timeout)
     return call.arrived_at + patience
 
 
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -186,7 +186,7 @@
         self,
         upstream: ids.UpstreamId,
         sent_at: float,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
     ) -> None:
         """Take what an upstream's answer says of the next requests."""
         self._rate_limits.answered(upstream, sent_at, head)
--- a/galenahatch/gateway/notices.py
+++ b/galenahatch/gateway/notices.py
@@ -67,7 +67,7 @@
         self,
         upstream: ids.UpstreamId,
         sent_at: float,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
     ) -> None:
         """Take the head of an answer."""
         for value in (head.leaving, head.pause):
@@ -111,7 +111,7 @@
         self,
         upstream: ids.UpstreamId,
         sentence: str,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
         **fields: typing.Any,
     ) -> None:
         now = clock.now()
@@ -119,7 +119,9 @@
         if now - self._logged_at.get(key, -_LOG_EVERY) < _LOG_EVERY:
             return
         self._logged_at[key] = now
-        _log.info(sentence, upstream=upstream, request=head.request, **fields)
+        _log.info(
+            sentence, upstream=upstream, request=head.request_id, **fields
+        )
 
     def _leaving_for(self) -> dict[str, float]:
         now = clock.now()
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -159,7 +159,7 @@
         again = self._route.max_attempts > self._sends.ran + 1
         share = _FIRST_SHARE if again and not once else 1.0
         headers = wire.outgoing(
-            self._call, calls.Directions(upstream.id, left)
+            self._call, calls.ForwardingOptions(upstream.id, left)
         )
         self._means.balancer.begin(upstream.id)
         self._sends.begin()
@@ -200,8 +200,8 @@
 
     async def _read(self, answer: senders.Answer, attempt: _Attempt) -> None:
         body = await answer.body()
-        whole = body is not None and not answer.head.encoded
-        if answer.head.status < 300 and not answer.head.signed:
+        whole = body is not None and not answer.head.is_encoded
+        if answer.head.status < 300 and not answer.head.is_signed:
             whole = False
         if whole and body is not None:
             attempt.whole = means_module.Whole(answer.head, body)
@@ -240,7 +240,7 @@
     def _learn(
         self,
         attempt: _Attempt,
-        head: calls.AnswerHead | None,
+        head: calls.ResponseHead | None,
         lost: senders.Lost | None,
     ) -> None:
         now = clock.now()
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -164,11 +164,11 @@
         self, engine: upstreams.Upstream, last_event: str, end_by: float
     ) -> senders.Answer | senders.Lost:
         left = means_module.left(end_by)
-        directions = calls.Directions(
+        directions = calls.ForwardingOptions(
             engine.id,
             left,
             prefill_only=True,
-            last_event=last_event,
+            last_event_id=last_event,
             priority=self._call.priority,
         )
         return await self._means.sender.send(
--- a/galenahatch/gateway/ratelimits.py
+++ b/galenahatch/gateway/ratelimits.py
@@ -119,7 +119,7 @@
         self,
         upstream: ids.UpstreamId,
         sent_at: float,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
     ) -> None:
         """Take the head of an answer."""
         rate = head.rate_limit
@@ -128,14 +128,14 @@
                 _log.warning(
                     'Bad rate limit ignored.',
                     upstream=upstream,
-                    request=head.request,
+                    request=head.request_id,
                     detail=rate.detail,
                 )
             return
         now = clock.now()
         if not self._notices.answered(upstream, rate, sent_at, now):
             return
-        self._changed(upstream, 'answer', head.request)
+        self._changed(upstream, 'answer', head.request_id)
         if self._peers is not None:
             self._peers.tell_owner(messages.RateLimits(self.tell()))
 
--- a/galenahatch/gateway/relay.py
+++ b/galenahatch/gateway/relay.py
@@ -106,7 +106,7 @@
         self._event_at = now
         return whole
 
-    async def pass_on(self, head: calls.AnswerHead, whole: bytes) -> None:
+    async def pass_on(self, head: calls.ResponseHead, whole: bytes) -> None:
         """Send whole events to the caller."""
         if not self._sink.begun:
             await self._sink.begin(head)
--- a/galenahatch/gateway/sender.py
+++ b/galenahatch/gateway/sender.py
@@ -68,7 +68,9 @@
 """Headers that the client library would add."""
 
 Headers = multidict.CIMultiDict[str]
-HeadListener = typing.Callable[[ids.UpstreamId, float, calls.AnswerHead], None]
+HeadListener = typing.Callable[
+    [ids.UpstreamId, float, calls.ResponseHead], None
+]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -83,7 +85,7 @@
 
     fate: fate.Fate
     detail: str
-    head: calls.AnswerHead | None = None
+    head: calls.ResponseHead | None = None
     is_cut: bool = False
 
 
@@ -177,7 +179,7 @@
     def __init__(
         self,
         response: aiohttp.ClientResponse,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
         upstream: ids.UpstreamId,
         waits: inflight.Waits,
     ) -> None:
@@ -254,7 +256,7 @@
         upstream: upstreams.Upstream,
         request: calls.Call,
         headers: Headers,
-        decode: typing.Callable[[int, typing.Any], calls.AnswerHead],
+        decode: typing.Callable[[int, typing.Any], calls.ResponseHead],
         timeout: float,
         connect: float,
         keep: bool,
@@ -302,9 +304,9 @@
         self, request: calls.Call, answer: Answer
     ) -> Answer | Lost:
         head = answer.head
-        if head.request and head.request != request.id:
+        if head.request_id and head.request_id != request.id:
             answer.close()
-            detail = f'answer to {head.request}'
+            detail = f'answer to {head.request_id}'
             return Lost(fate.Fate.UNCERTAIN, detail)
         if head.not_executed and head.status >= 400:
             await answer.body()
@@ -359,13 +361,13 @@
             return errors.Failure(errors.UPSTREAM_UNREACHABLE, repr(error))
 
 
-def _is_of(head: calls.AnswerHead, request: calls.Call) -> bool:
+def _is_of(head: calls.ResponseHead, request: calls.Call) -> bool:
     """Return whether an answer tells of the upstream that was meant.
 
     A late answer to another request tells of an earlier time, and one that
     refuses the wrong instance is of another upstream.
     """
-    is_late = bool(head.request) and head.request != request.id
+    is_late = bool(head.request_id) and head.request_id != request.id
     return not is_late and head.status != _WRONG_INSTANCE
 
 
--- a/galenahatch/platform/wire.py
+++ b/galenahatch/platform/wire.py
@@ -122,9 +122,9 @@
         headers=headers,
         body=body,
         arrived_at=arrived_at,
-        patience=patience / 1000 if patience is not None else None,
+        caller_timeout=patience / 1000 if patience is not None else None,
         prompt=_prompt(headers),
-        last_event=headers.get(_LAST_EVENT, ''),
+        last_event_id=headers.get(_LAST_EVENT, ''),
         tokens=_tokens(headers),
         credentials=tuple(headers.getall(_CREDENTIALS, ())),
     )
@@ -150,42 +150,42 @@
         request,
         headers=headers,
         credentials=(),
-        is_identified=True,
+        credentials_checked=True,
         customer=customer,
     )
 
 
 def outgoing(
-    request: calls.Call, directions: calls.Directions
+    request: calls.Call, directions: calls.ForwardingOptions
 ) -> 'multidict.CIMultiDict[str]':
     """Return the headers of a request to an upstream."""
     headers = request.headers.copy()
     headers[INSTANCE] = incarnations.instance(directions.upstream)
-    if directions.patience is not None:
-        left = max(1, int(directions.patience * 1000))
+    if directions.time_left is not None:
+        left = max(1, int(directions.time_left * 1000))
         headers[_PATIENCE] = str(left)
     if directions.prefill_only:
         headers[_STAGE] = 'prefill'
     if directions.kv_source:
         headers[_KV_SOURCE] = directions.kv_source
-    if directions.last_event:
-        headers[_LAST_EVENT] = directions.last_event
+    if directions.last_event_id:
+        headers[_LAST_EVENT] = directions.last_event_id
     if directions.priority is not None:
         headers[_PRIORITY] = str(min(directions.priority, _LAST_PRIORITY))
     return headers
 
 
-def answer_head(status: int, raw: Raw) -> calls.AnswerHead:
+def answer_head(status: int, raw: Raw) -> calls.ResponseHead:
     """Return the head of an upstream's answer."""
     headers = _end_to_end(raw)
-    return calls.AnswerHead(
+    return calls.ResponseHead(
         status=status,
         headers=headers,
-        request=headers.get(_REQUEST, ''),
-        signed=_SIGNATURE in headers,
+        request_id=headers.get(_REQUEST, ''),
+        is_signed=_SIGNATURE in headers,
         not_executed=_NOT_EXECUTED in headers or status == 421,
         load=_load(headers.get(_LOAD, '')),
-        encoded=headers.get('Content-Encoding', 'identity') != 'identity',
+        is_encoded=headers.get('Content-Encoding', 'identity') != 'identity',
         rate_limit=_lowest(headers, _RATE_LIMIT),
         leaving=_leaving(headers),
         pause=_lowest(headers, _RETRY_AFTER) if status == 503 else None,
@@ -242,9 +242,9 @@
     hint = _number(headers.get(_HINT, ''))
     return calls.Prompt(
         tokens=tokens,
-        most_output=most,
-        likely_output=int(hint) if hint is not None else None,
-        subject=last.partition(':')[0].strip(),
+        max_output=most,
+        estimated_output=int(hint) if hint is not None else None,
+        last_block_id=last.partition(':')[0].strip(),
     )
 
 
--- a/galenahatch/test/test_customers.py
+++ b/galenahatch/test/test_customers.py
@@ -106,7 +106,7 @@
     found = customers.identify(_KNOWN, call.credentials, False)
     assert isinstance(found, customers.Customer)
     known = wire.identified(call, found)
-    directions = calls.Directions(ids.UpstreamId('i-1'), 1.0)
+    directions = calls.ForwardingOptions(ids.UpstreamId('i-1'), 1.0)
     sent = wire.outgoing(known, directions)
     assert sent.getall('X-Galenahatch-Tenant') == ['shop']
     assert 'Authorization' not in sent
@@ -125,7 +125,7 @@
     call = _call(
         (b'Authorization', b'Bearer k1'), (b'X-Galenahatch-Tenant', b'desk')
     )
-    directions = calls.Directions(ids.UpstreamId('i-1'), 1.0)
+    directions = calls.ForwardingOptions(ids.UpstreamId('i-1'), 1.0)
     sent = wire.outgoing(call, directions)
     assert sent['Authorization'] == 'Bearer k1'
     assert sent['X-Galenahatch-Tenant'] == 'desk'
@@ -169,10 +169,10 @@
         quota=quota,
         plain_tokens=200.0,
     )
-    assert wire.identified(call, by_tokens).units == (tokens or 200)
+    assert wire.identified(call, by_tokens).quota_units == (tokens or 200)
     by_requests = customers.Customer(
         ids.CustomerName('a'), frozenset(), quota=quota
     )
-    assert wire.identified(call, by_requests).units == 1
+    assert wire.identified(call, by_requests).quota_units == 1
     unlimited = customers.Customer(ids.CustomerName('a'), frozenset())
-    assert wire.identified(call, unlimited).units == 0
+    assert wire.identified(call, unlimited).quota_units == 0
--- a/galenahatch/test/test_notices.py
+++ b/galenahatch/test/test_notices.py
@@ -31,7 +31,7 @@
 from galenahatch.platform import wire
 
 
-def _head(status: int, *headers: tuple[str, str]) -> calls.AnswerHead:
+def _head(status: int, *headers: tuple[str, str]) -> calls.ResponseHead:
     raw = [(name.encode(), value.encode()) for name, value in headers]
     return wire.answer_head(status, raw)
 
--- a/galenahatch/test/test_pauses.py
+++ b/galenahatch/test/test_pauses.py
@@ -83,7 +83,7 @@
     call = calls.Call(
         number, 'GET', '', '/x', headers, b'', 0.0, None, None, ''
     )
-    told = wire.outgoing(call, calls.Directions(upstream.id, 5.0))
+    told = wire.outgoing(call, calls.ForwardingOptions(upstream.id, 5.0))
     return await sender.send(
         upstream, call, told, wire.answer_head, timeout, _SOON, keep
     )
--- a/galenahatch/test/test_platform.py
+++ b/galenahatch/test/test_platform.py
@@ -88,12 +88,12 @@
     ]
     call = wire.call('POST', '/p', raw, b'', 0.0)
     assert call.prompt == calls.Prompt(1460, 80, 60, 'e4')
-    assert (call.id, call.patience) == ('r1', 1.5)
+    assert (call.id, call.caller_timeout) == ('r1', 1.5)
     raw[3] = (b'X-Galenahatch-Token-Count', b'many')
     raw[6] = (b'X-Galenahatch-Deadline-Ms', b'-3')
     call = wire.call('POST', '/p', raw, b'', 0.0)
     assert call.prompt is None
-    assert call.patience is None
+    assert call.caller_timeout is None
 
 
 def test_directions() -> None:
@@ -101,11 +101,11 @@
     call = wire.call('POST', '/p', [(b'Last-Event-Id', b'3')], b'', 0.0)
     told = wire.outgoing(
         call,
-        calls.Directions(
+        calls.ForwardingOptions(
             ids.UpstreamId('i-1'),
             0.2504,
             kv_source='1.2.3.4:5/h',
-            last_event='7',
+            last_event_id='7',
             priority=2,
         ),
     )
