--- a/galenahatch/gateway/front.py
+++ b/galenahatch/gateway/front.py
@@ -57,7 +57,9 @@
 class _StreamSink:
     """A streamed answer on a caller's connection."""
 
-    def __init__(self, request: web.BaseRequest, front: 'Front') -> None:
+    def __init__(
+        self, request: web.BaseRequest, front: 'HttpFrontend'
+    ) -> None:
         self._request = request
         self._front = front
         self._response: web.StreamResponse | None = None
@@ -85,7 +87,7 @@
         await self._response.write(data)
 
 
-class Front:
+class HttpFrontend:
     """Answers callers.
 
     Args:
@@ -98,24 +100,24 @@
         self._lives: collections.deque[float] = collections.deque(
             maxlen=_LIVES
         )
-        self._quiet_at = 0.0
+        self._reject_streams_at = 0.0
         self._ends_at = 0.0
-        self.leaving = False
+        self.is_draining = False
 
     @property
     def in_flight(self) -> int:
         """Requests that are being answered."""
         return self._in_flight
 
-    def leave(self, quiet_at: float, ends_at: float) -> None:
+    def drain(self, quiet_at: float, ends_at: float) -> None:
         """Stop to be ready.
 
         Args:
             quiet_at: from when on no stream is begun.
             ends_at: when the process ends.
         """
-        self.leaving = True
-        self._quiet_at = quiet_at
+        self.is_draining = True
+        self._reject_streams_at = quiet_at
         self._ends_at = ends_at
 
     def _ends_first(self) -> bool:
@@ -124,9 +126,9 @@
         Callers have had the time to go elsewhere when no more are begun: a
         process that started lately has not seen how long streams last.
         """
-        if not self.leaving:
+        if not self.is_draining:
             return False
-        if clock.now() > self._quiet_at:
+        if clock.now() > self._reject_streams_at:
             return True
         lives = sorted(self._lives)
         usual = lives[int(_LONG_LIFE * len(lives))] if lives else 0.0
@@ -137,7 +139,7 @@
 
         Callers have had the time to go elsewhere then, too.
         """
-        if not self.leaving or clock.now() < self._quiet_at:
+        if not self.is_draining or clock.now() < self._reject_streams_at:
             return False
         return means_module.end_by(call, route) > self._ends_at
 
@@ -148,12 +150,12 @@
 
     def mark(self, response: web.StreamResponse) -> None:
         """Ask the caller to close its connection if this process stops."""
-        if self.leaving:
+        if self.is_draining:
             response.force_close()
 
     async def ready(self, request: web.BaseRequest) -> web.StreamResponse:
         """Tell the balancer whether to send callers here."""
-        good = self._means.directory.ready and not self.leaving
+        good = self._means.directory.ready and not self.is_draining
         return web.Response(status=200 if good else 503)
 
     async def metrics(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -216,7 +216,7 @@
 
     async def _listen(self) -> None:
         settings = self._settings
-        self._front = fronts.Front(
+        self._front = fronts.HttpFrontend(
             means_module.Means(
                 directory=self._directory,
                 sender=self._sender,
@@ -288,7 +288,7 @@
         """Finish what is in flight, then close."""
         began = clock.now()
         last = began + self._settings.bounds.grace - _LAST_SECOND
-        self._front.leave(began + _LOOK_AWAY, last)
+        self._front.drain(began + _LOOK_AWAY, last)
         self._mesh.leaving = True
         self._ownership.owner.decline_all()
         _log.info('Stopping.', in_flight=self._front.in_flight)
