--- a/galenahatch/gateway/ending.py
+++ b/galenahatch/gateway/ending.py
@@ -42,7 +42,7 @@
     sentence: str,
     call: calls.Call,
     engine: ids.UpstreamId,
-    send: senders.Lost,
+    send: senders.FailedSend,
     events: int,
     seconds: float,
 ) -> None:
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -287,7 +287,7 @@
                 connect=_CONNECT,
                 keep=False,
             )
-            if isinstance(answer, senders.Lost):
+            if isinstance(answer, senders.FailedSend):
                 known = answer.fate
                 return self._decode_lost(engine, answer)
             known = fate.Fate.ANSWERED
@@ -309,7 +309,7 @@
         return min(left, _SILENCE_PAUSES * self._route.longest_pause)
 
     def _decode_lost(
-        self, engine: upstreams.Upstream, lost: senders.Lost
+        self, engine: upstreams.Upstream, lost: senders.FailedSend
     ) -> prefill.Again:
         self._log_lost('Decode lost.', engine, lost)
         # A refusal says that the engine takes no more, or that the handle is
@@ -325,14 +325,14 @@
             lost.detail,
             tuple(at_fault),
             unreachable=lost.fate is fate.Fate.NOT_SENT,
-            cut=engine if lost.is_cut else None,
+            cut=engine if lost.is_connection_lost else None,
         )
 
     async def _take(
         self,
         stream: ids.StreamId,
         engine: upstreams.Upstream,
-        answer: senders.Answer,
+        answer: senders.Response,
     ) -> means_module.Whole | errors.Failure | prefill.Again | None:
         """Pass an answer on to its end."""
         head = answer.head
@@ -352,7 +352,7 @@
         self,
         stream: ids.StreamId,
         engine: upstreams.Upstream,
-        answer: senders.Answer,
+        answer: senders.Response,
     ) -> prefill.Again | None:
         self._relay.restart()
         began = False
@@ -360,11 +360,13 @@
             # What has come is passed on, also after the deadline.
             left = max(0.0, means_module.left(self._end_by))
             data = await answer.read(self._patience(left))
-            if isinstance(data, senders.Lost):
+            if isinstance(data, senders.FailedSend):
                 if means_module.over(self._end_by):
                     raise Broken('deadline')
                 self._log_lost('Stream lost.', engine, data)
-                return self._broke_off(engine, data.detail, data.is_cut)
+                return self._broke_off(
+                    engine, data.detail, data.is_connection_lost
+                )
             if not data:
                 if self._relay.is_within_event:
                     detail = 'ended within an event'
@@ -423,7 +425,10 @@
         return errors.Failure(errors.SEND_INTERRUPTED, self._detail)
 
     def _log_lost(
-        self, sentence: str, engine: upstreams.Upstream, lost: senders.Lost
+        self,
+        sentence: str,
+        engine: upstreams.Upstream,
+        lost: senders.FailedSend,
     ) -> None:
         seconds = clock.now() - self._sent_at
         events = self._relay.count
--- a/galenahatch/gateway/inflight.py
+++ b/galenahatch/gateway/inflight.py
@@ -70,7 +70,7 @@
                 if not scopes and self._open.get(upstream) is scopes:
                     del self._open[upstream]
 
-    def started(self, upstream: ids.UpstreamId) -> int:
+    def end_older_waits(self, upstream: ids.UpstreamId) -> int:
         """Take a start; end the waits for those before it.
 
         Returns:
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -72,7 +72,7 @@
         notices: what else upstreams' answers say.
     """
 
-    outcomes: outcomes.Exchange
+    outcomes: outcomes.OutcomeExchange
     guard: quarantine.Guard
     accounts: accounts.Accounts
     rate_limits: ratelimits.RateLimits
@@ -237,7 +237,7 @@
             self._directory.upstreams_version.number,
             self.leaving,
             self.held(),
-            self._exchange.take_new(),
+            self._exchange.take_unreported(),
             self._members.order.number,
             self._directory.hears_store,
             self._guard.tell(),
@@ -248,7 +248,7 @@
             self._members.order.era,
         )
         if self._members.owner(self.leaving, now) == self.me:
-            self._exchange.decides()
+            self._exchange.apply_own_totals()
             part = self._part(now)
         else:
             part = 1.0
@@ -312,7 +312,7 @@
         if isinstance(message, messages.Beat):
             self._meet(message.member, peer)
             self._hear(message.member, message)
-            self._exchange.take(message.outcomes)
+            self._exchange.add_reported(message.outcomes)
             self._accounts.add_reported(message.used)
             self._rate_limits.hear(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
@@ -328,7 +328,7 @@
                     self._directory.hears_store,
                     self.size,
                     self.figures(),
-                    self._exchange.sums(),
+                    self._exchange.totals(),
                     self._members.order.number,
                     self._guard.tell(),
                     self._accounts.nearly_exhausted(),
@@ -354,7 +354,7 @@
             self._hear(name, message)
             self._members.told_size(message.members)
             if name == self._members.owner(self.leaving, clock.now()):
-                self._exchange.hear(message.outcomes)
+                self._exchange.apply_owner_totals(message.outcomes)
             self._accounts.apply_remaining(message.low)
             self._rate_limits.hear(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -101,7 +101,7 @@
         settings = self._settings
         self._client = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
-                limit=0, socket_factory=senders.watched_socket
+                limit=0, socket_factory=senders.create_socket
             )
         )
         self._store = stores.Store(self._client, str(settings.store))
@@ -115,7 +115,7 @@
         self._sender = senders.Sender()
         self._rate_limits = ratelimits.RateLimits()
         self._notices = notices.Notices(self._directory)
-        self._sender.on_head = self._answered
+        self._sender.on_response_head = self._answered
         self._directory.on_start(self._end_waits)
         bounds = settings.bounds
         self._budget = extras.SharedBudget(
@@ -136,7 +136,7 @@
             self._notices.paused,
         )
         self._balancer = balance.Balancer(clock.RANDOM, settings.data_centre)
-        self._exchange = outcomes.Exchange(self._balancer.outliers)
+        self._exchange = outcomes.OutcomeExchange(self._balancer.outliers)
         self._open_mesh()
 
     def _open_mesh(self) -> None:
@@ -194,7 +194,7 @@
 
     def _end_waits(self, upstream: ids.UpstreamId) -> None:
         """Give up what is under way at the start before."""
-        ended = self._sender.waits.started(upstream)
+        ended = self._sender.waits.end_older_waits(upstream)
         if ended:
             _log.info('Waits ended.', upstream=upstream, waits=ended)
 
@@ -249,7 +249,7 @@
             self._grants.set_members(self._mesh.size)
             known = self._directory.registry.known
             self._balancer.forget(known)
-            self._exchange.forget(known)
+            self._exchange.prune(known)
             self._rate_limits.forget(known)
             self._notices.forget(known)
             await asyncio.sleep(_MEMBERS_EVERY)
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -205,7 +205,7 @@
     ) -> int:
         """Send an order; return its status, 0 if there was no answer."""
         order = engines.stage_order(stage.value, self._mesh.me, fence, taken)
-        reply = await self._sender.small(
+        reply = await self._sender.request_small(
             'POST',
             engine.address,
             engines.ORDER,
@@ -228,7 +228,7 @@
     async def _report(
         self, engine: upstreams.Upstream
     ) -> engines.Report | None:
-        reply = await self._sender.small(
+        reply = await self._sender.request_small(
             'GET', engine.address, engines.REPORT, _CALL_TIMEOUT
         )
         if isinstance(reply, errors.Failure):
--- a/galenahatch/gateway/outcomes.py
+++ b/galenahatch/gateway/outcomes.py
@@ -30,7 +30,7 @@
 first, and few fail at a time."""
 
 
-class Exchange:
+class OutcomeExchange:
     """This gateway's part of it.
 
     Args:
@@ -39,39 +39,39 @@
 
     def __init__(self, known: outliers.Outliers) -> None:
         self._known = known
-        self._sums = outliers.Tally()
+        self._totals = outliers.Tally()
 
-    def take_new(self) -> tuple[messages.Outcomes, ...]:
+    def take_unreported(self) -> tuple[messages.Outcomes, ...]:
         """Return what came since the last call, for the next beat."""
         new = self._known.take_new()
         self._add(new)
         return _told(new)
 
-    def take(self, told: tuple[messages.Outcomes, ...]) -> None:
+    def add_reported(self, told: tuple[messages.Outcomes, ...]) -> None:
         """Add what another gateway told."""
         self._add(_heard(told))
 
-    def sums(self) -> tuple[messages.Outcomes, ...]:
+    def totals(self) -> tuple[messages.Outcomes, ...]:
         """Return the sums over all gateways that tell this one."""
-        return _told(self._sums.all(clock.now()))
+        return _told(self._totals.all(clock.now()))
 
-    def decides(self) -> None:
+    def apply_own_totals(self) -> None:
         """Use this gateway's own sums: it is the owner."""
         now = clock.now()
-        self._known.hear(self._sums.all(now), now)
+        self._known.hear(self._totals.all(now), now)
 
-    def hear(self, told: tuple[messages.Outcomes, ...]) -> None:
+    def apply_owner_totals(self, told: tuple[messages.Outcomes, ...]) -> None:
         """Use the sums of the owner."""
         self._known.hear(_heard(told), clock.now())
 
-    def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
+    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
-        self._sums.forget(known)
+        self._totals.forget(known)
 
     def _add(self, counts: outliers.Counts) -> None:
         now = clock.now()
         for upstream, count in counts.items():
-            self._sums.add(upstream, count, now)
+            self._totals.add(upstream, count, now)
 
 
 def _told(counts: outliers.Counts) -> tuple[messages.Outcomes, ...]:
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -52,7 +52,7 @@
 
     upstream: ids.UpstreamId
     whole: means_module.Whole | None
-    lost: senders.Lost | None
+    lost: senders.FailedSend | None
 
 
 class Course:
@@ -98,7 +98,7 @@
             done = self._judge(attempt)
             if done is not None:
                 return done
-            if attempt.lost is not None and attempt.lost.is_cut:
+            if attempt.lost is not None and attempt.lost.is_connection_lost:
                 await self._means.guard.cut(self._call, upstream)
             if self._means.guard.holds(self._call):
                 return self._means.guard.failure(self._call)
@@ -175,7 +175,7 @@
                 connect=min(_CONNECT, left),
                 keep=not once,
             )
-            if isinstance(answer, senders.Lost):
+            if isinstance(answer, senders.FailedSend):
                 attempt.lost = answer
             else:
                 await self._read(answer, attempt)
@@ -198,7 +198,7 @@
             seconds=seconds,
         )
 
-    async def _read(self, answer: senders.Answer, attempt: _Attempt) -> None:
+    async def _read(self, answer: senders.Response, attempt: _Attempt) -> None:
         body = await answer.body()
         whole = body is not None and not answer.head.is_encoded
         if answer.head.status < 300 and not answer.head.is_signed:
@@ -206,11 +206,11 @@
         if whole and body is not None:
             attempt.whole = means_module.Whole(answer.head, body)
         else:
-            attempt.lost = senders.Lost(
+            attempt.lost = senders.FailedSend(
                 fate.Fate.UNCERTAIN,
                 'answer not whole',
                 head=answer.head,
-                is_cut=body is None,
+                is_connection_lost=body is None,
             )
 
     def _note(self, attempt: _Attempt, seconds: float) -> None:
@@ -241,7 +241,7 @@
         self,
         attempt: _Attempt,
         head: calls.ResponseHead | None,
-        lost: senders.Lost | None,
+        lost: senders.FailedSend | None,
     ) -> None:
         now = clock.now()
         if head is not None and head.load is not None:
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -125,7 +125,7 @@
         if self._means.notices.pause_left(engine.id):
             return Again(engine.id, 'prefill engine wants a pause')
         answer = await self._send(engine, last_event, end_by)
-        if isinstance(answer, senders.Lost):
+        if isinstance(answer, senders.FailedSend):
             return self._lost(engine, answer)
         self._count += 1
         body = await answer.body()
@@ -141,7 +141,9 @@
         )
         return None
 
-    def _lost(self, engine: upstreams.Upstream, lost: senders.Lost) -> Again:
+    def _lost(
+        self, engine: upstreams.Upstream, lost: senders.FailedSend
+    ) -> Again:
         unreachable = lost.fate is fate.Fate.NOT_SENT
         self._count += not unreachable
         _log.warning(
@@ -157,12 +159,12 @@
             lost.detail,
             (engine.id,),
             unreachable=unreachable,
-            cut=engine if lost.is_cut else None,
+            cut=engine if lost.is_connection_lost else None,
         )
 
     async def _send(
         self, engine: upstreams.Upstream, last_event: str, end_by: float
-    ) -> senders.Answer | senders.Lost:
+    ) -> senders.Response | senders.FailedSend:
         left = means_module.left(end_by)
         directions = calls.ForwardingOptions(
             engine.id,
@@ -196,7 +198,7 @@
         address, _, handle = source.partition('/')
 
         async def free() -> None:
-            reply = await self._means.sender.small(
+            reply = await self._means.sender.request_small(
                 'DELETE',
                 address,
                 engines.handle_path(handle),
--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -116,7 +116,7 @@
         self, call: calls.Call, upstream: upstreams.Upstream
     ) -> None:
         """Note that a send broke off soon after its upstream began it."""
-        if not await self._sender.refuses(upstream):
+        if not await self._sender.refuses_connections(upstream):
             return
         self._known.ended(call.digest, upstream.id, clock.now())
         instruments.upstream_ends.add(1)
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -91,7 +91,7 @@
         ]
         replies = await asyncio.gather(
             *(
-                self._sender.small(
+                self._sender.request_small(
                     'GET', engine.address, engines.REPORT, _REPORT_TIMEOUT
                 )
                 for engine in found
--- a/galenahatch/gateway/sender.py
+++ b/galenahatch/gateway/sender.py
@@ -44,10 +44,10 @@
 from galenahatch import timeouts
 from galenahatch.upstream import http
 
-KEEP_ALIVE: typing.Final = 4.0
+KEEP_ALIVE_S: typing.Final = 4.0
 """Seconds for which an idle connection is kept. Upstreams close theirs
 later; an early close costs a handshake, a late one a failed send."""
-MOST_ANSWER: typing.Final = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES: typing.Final = 16 * 1024 * 1024
 """Bytes of a plain answer that are held in memory."""
 _UNACKNOWLEDGED_MS: typing.Final = 2000
 """Milliseconds after which a connection whose peer acknowledges nothing is
@@ -68,13 +68,13 @@
 """Headers that the client library would add."""
 
 Headers = multidict.CIMultiDict[str]
-HeadListener = typing.Callable[
+ResponseHeadListener = typing.Callable[
     [ids.UpstreamId, float, calls.ResponseHead], None
 ]
 
 
 @dataclasses.dataclass(frozen=True)
-class Lost:
+class FailedSend:
     """A send without an answer that can be used.
 
     Attributes:
@@ -86,7 +86,7 @@
     fate: fate.Fate
     detail: str
     head: calls.ResponseHead | None = None
-    is_cut: bool = False
+    is_connection_lost: bool = False
 
 
 class _Protocol(client_proto.ResponseHandler):
@@ -128,12 +128,12 @@
         if keep:
             super().__init__(
                 limit=0,
-                keepalive_timeout=KEEP_ALIVE,
-                socket_factory=watched_socket,
+                keepalive_timeout=KEEP_ALIVE_S,
+                socket_factory=create_socket,
             )
         else:
             super().__init__(
-                limit=0, force_close=True, socket_factory=watched_socket
+                limit=0, force_close=True, socket_factory=create_socket
             )
         loop = self._loop
         self._factory = lambda: _Protocol(loop=loop)  # type: ignore
@@ -155,7 +155,7 @@
         return await super()._get(key, traces)
 
 
-def watched_socket(address: typing.Any) -> socket.socket:
+def create_socket(address: typing.Any) -> socket.socket:
     """Return a socket that notices a peer without power."""
     family, kind, protocol, _, _ = address
     made = socket.socket(family, kind, protocol)
@@ -166,7 +166,7 @@
     return made
 
 
-class Answer:
+class Response:
     """An answer whose head has come.
 
     Args:
@@ -201,7 +201,7 @@
         try:
             async for chunk in self._response.content.iter_any():
                 data += chunk
-                if len(data) > MOST_ANSWER:
+                if len(data) > MAX_RESPONSE_BYTES:
                     self.close()
                     return None
         except http.ERRORS:
@@ -212,7 +212,7 @@
             raise
         return bytes(data)
 
-    async def read(self, timeout: float) -> bytes | Lost:
+    async def read(self, timeout: float) -> bytes | FailedSend:
         """Return the next bytes, or none at the end.
 
         Args:
@@ -222,10 +222,12 @@
             async with self._waits.limit(self._upstream, timeout):
                 return await self._response.content.readany()
         except asyncio.TimeoutError:
-            return Lost(fate.Fate.UNCERTAIN, 'silent')
+            return FailedSend(fate.Fate.UNCERTAIN, 'silent')
         except http.ERRORS as error:
             detail = f'{type(error).__name__} {error}'
-            return Lost(fate.Fate.UNCERTAIN, detail, is_cut=True)
+            return FailedSend(
+                fate.Fate.UNCERTAIN, detail, is_connection_lost=True
+            )
 
     def close(self) -> None:
         """Close the connection: the upstream stops its work."""
@@ -242,7 +244,9 @@
 
     def __init__(self) -> None:
         self.waits = inflight.Waits()
-        self.on_head: HeadListener = lambda upstream, sent_at, head: None
+        self.on_response_head: ResponseHeadListener = (
+            lambda upstream, sent_at, head: None
+        )
         self._kept = _session(keep=True)
         self._fresh = _session(keep=False)
 
@@ -260,7 +264,7 @@
         timeout: float,
         connect: float,
         keep: bool,
-    ) -> Answer | Lost:
+    ) -> Response | FailedSend:
         """Send a request; return the head of its answer.
 
         Args:
@@ -286,35 +290,37 @@
                     timeout=limits,
                 )
         except http.NOT_CONNECTED as error:
-            return Lost(fate.Fate.NOT_SENT, repr(error))
+            return FailedSend(fate.Fate.NOT_SENT, repr(error))
         except asyncio.TimeoutError:
-            return Lost(fate.Fate.UNCERTAIN, 'no answer')
+            return FailedSend(fate.Fate.UNCERTAIN, 'no answer')
         except http.ERRORS as error:
-            return Lost(fate.Fate.UNCERTAIN, repr(error), is_cut=True)
+            return FailedSend(
+                fate.Fate.UNCERTAIN, repr(error), is_connection_lost=True
+            )
         head = decode(response.status, response.raw_headers)
-        answer = Answer(response, head, upstream.id, self.waits)
+        answer = Response(response, head, upstream.id, self.waits)
         if _is_of(head, request):
-            self.on_head(upstream.id, sent_at, head)
+            self.on_response_head(upstream.id, sent_at, head)
         return await self._checked(request, answer)
 
     def _session(self, keep: bool) -> aiohttp.ClientSession:
         return self._kept if keep else self._fresh
 
     async def _checked(
-        self, request: calls.Call, answer: Answer
-    ) -> Answer | Lost:
+        self, request: calls.Call, answer: Response
+    ) -> Response | FailedSend:
         head = answer.head
         if head.request_id and head.request_id != request.id:
             answer.close()
             detail = f'answer to {head.request_id}'
-            return Lost(fate.Fate.UNCERTAIN, detail)
+            return FailedSend(fate.Fate.UNCERTAIN, detail)
         if head.not_executed and head.status >= 400:
             await answer.body()
             detail = f'refused with {head.status}'
-            return Lost(fate.Fate.REFUSED, detail, head=head)
+            return FailedSend(fate.Fate.REFUSED, detail, head=head)
         return answer
 
-    async def refuses(self, upstream: upstreams.Upstream) -> bool:
+    async def refuses_connections(self, upstream: upstreams.Upstream) -> bool:
         """Return whether nobody listens at the address of an upstream.
 
         Where no answer comes at all, nothing is known of it.
@@ -331,7 +337,7 @@
         writer.close()
         return False
 
-    async def small(
+    async def request_small(
         self,
         method: str,
         address: str,
--- a/galenahatch/test/test_incarnations.py
+++ b/galenahatch/test/test_incarnations.py
@@ -424,7 +424,7 @@
             )
         ]
         await asyncio.sleep(0.01)
-        assert waits.started(_id(9)) == 2
+        assert waits.end_older_waits(_id(9)) == 2
         assert await asyncio.gather(*asked) == [True, True] + [False] * 3
         assert await _wait(waits, _id(5), 30.0), 'remembered as over'
 
--- a/galenahatch/test/test_pauses.py
+++ b/galenahatch/test/test_pauses.py
@@ -77,7 +77,7 @@
     upstream: upstreams.Upstream,
     timeout: float = 5.0,
     keep: bool = False,
-) -> senders.Answer | senders.Lost:
+) -> senders.Response | senders.FailedSend:
     number = f'{next(_NUMBERS):016x}'
     headers = multidict.CIMultiDict({'Host': fleets.HOST})
     call = calls.Call(
@@ -103,7 +103,7 @@
     """A connection that was made while the process slept counts as made."""
     upstream = _upstream(desks, 'desk')
 
-    async def paused() -> senders.Answer | senders.Lost:
+    async def paused() -> senders.Response | senders.FailedSend:
         sender = senders.Sender()
         sending = asyncio.create_task(_send(sender, upstream, keep=keep))
         await _turns(turns)
@@ -114,7 +114,7 @@
 
     with asyncio.Runner(loop_factory=_LOOPS[loop]) as runner:
         answer = runner.run(paused())
-    assert isinstance(answer, senders.Answer), answer
+    assert isinstance(answer, senders.Response), answer
 
 
 @pytest.mark.parametrize('loop', _LOOPS)
@@ -124,7 +124,7 @@
     (standin,) = desks.of('desk')
     standin.delay = _SOON
 
-    async def paused() -> senders.Answer | senders.Lost:
+    async def paused() -> senders.Response | senders.FailedSend:
         sender = senders.Sender()
         sending = asyncio.create_task(
             _send(sender, upstream, timeout=2 * _SOON)
@@ -138,7 +138,7 @@
     with asyncio.Runner(loop_factory=_LOOPS[loop]) as runner:
         answer = runner.run(paused())
     standin.delay = 0.0
-    assert isinstance(answer, senders.Answer), answer
+    assert isinstance(answer, senders.Response), answer
 
 
 @pytest.mark.parametrize('loop', _LOOPS)
@@ -146,11 +146,11 @@
     """A stream is not silent whose events wait to be read."""
     upstream = _upstream(desks, 'model')
 
-    async def paused() -> list[bytes | senders.Lost]:
+    async def paused() -> list[bytes | senders.FailedSend]:
         sender = senders.Sender()
         answer = await _send(sender, upstream)
-        assert isinstance(answer, senders.Answer)
-        found: list[bytes | senders.Lost] = []
+        assert isinstance(answer, senders.Response)
+        found: list[bytes | senders.FailedSend] = []
         for _ in range(4):
             reading = asyncio.create_task(answer.read(_SOON))
             await _turns(1)
@@ -161,7 +161,9 @@
 
     with asyncio.Runner(loop_factory=_LOOPS[loop]) as runner:
         found = runner.run(paused())
-    assert not [one for one in found if isinstance(one, senders.Lost)], found
+    assert not [one for one in found if isinstance(one, senders.FailedSend)], (
+        found
+    )
 
 
 @pytest.mark.parametrize('path', ['/once/x', '/say/x'])
@@ -211,7 +213,7 @@
         seconds = time.monotonic() - began
         print(f'{seconds:.3f} s; ticks up to {max(late, default=0):.3f} late')
         ticking.cancel()
-        assert isinstance(answer, senders.Lost)
+        assert isinstance(answer, senders.FailedSend)
         await sender.close()
         return seconds
 
--- a/galenahatch/test/test_platform.py
+++ b/galenahatch/test/test_platform.py
@@ -282,7 +282,7 @@
     async def run() -> None:
         sender = senders.Sender()
         await sender.close()
-        found = await sender.small('DELETE', '127.0.0.1:1', '/', 1.0)
+        found = await sender.request_small('DELETE', '127.0.0.1:1', '/', 1.0)
         assert isinstance(found, errors.Failure)
 
     asyncio.run(run())
