--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -124,7 +124,7 @@
         """Return what the customer was charged for what has not run."""
         units = self._call.quota_units
         if units and failure.outcome is errors.Outcome.NOT_RUN:
-            self._means.ownership.give_back(self._call.customer_name, units)
+            self._means.ownership.refund_units(self._call.customer_name, units)
 
     async def _run(self) -> means_module.Whole | errors.Failure | None:
         for number in range(1, _MOST_PLACES + 1):
@@ -153,29 +153,31 @@
                 break
         return self._failure()
 
-    def _wish(self, stream: ids.StreamId, attempt: int) -> ownerships.Wish:
+    def _wish(
+        self, stream: ids.StreamId, attempt: int
+    ) -> ownerships.PlacementRequest:
         made = self._relay.count * self._spec.stride
         likely = self._prompt.estimated_output or 0
         prompt, most = self._sizes()
-        return ownerships.Wish(
+        return ownerships.PlacementRequest(
             stream=stream,
             service=self._service.name,
-            prompt=prompt,
-            hint=max(0, likely - made),
-            most=most,
+            prompt_tokens=prompt,
+            estimated_output=max(0, likely - made),
+            max_output=most,
             start_by=self._call.arrived_at + self._route.objective,
-            leaves_at=means_module.leaves_at(self._call, self._route),
+            caller_leaves_at=means_module.leaves_at(self._call, self._route),
             deadline=self._end_by,
-            subject=self._prompt.last_block_id,
+            last_block_id=self._prompt.last_block_id,
             avoid=tuple(self._avoid),
-            going_on=self._relay.has_reached_caller,
-            is_read=bool(self._reader.source()),
+            is_resumed=self._relay.has_reached_caller,
+            is_prefilled=bool(self._reader.source()),
             longest_pause=self._route.longest_pause,
             attempt=attempt,
-            extra=self._reader.extra_sends() + (self._decodes > 0),
+            extra_sends=self._reader.extra_sends() + (self._decodes > 0),
             is_suspect=self._means.guard.suspects(self._call),
             customer=self._call.customer_name,
-            units=self._call.quota_units if attempt == 1 else 0.0,
+            quota_units=self._call.quota_units if attempt == 1 else 0.0,
             priority=means_module.priority(self._call, self._route),
         )
 
@@ -265,7 +267,7 @@
         held = messages.Held(
             stream, self._service.name, engine.id, prompt, output, most, -1.0
         )
-        self._means.ownership.hold(held, self._made)
+        self._means.ownership.track_running(held, self._made)
         left = means_module.left(self._end_by)
         directions = calls.ForwardingOptions(
             engine.id,
@@ -378,7 +380,7 @@
             if not began:
                 began = True
                 self._spent.made = self._relay.run_first_at - self._sent_at
-                self._means.ownership.started(stream)
+                self._means.ownership.report_started(stream)
             await self._relay.pass_on(answer.head, whole)
 
     def _broke_off(
--- a/galenahatch/gateway/means.py
+++ b/galenahatch/gateway/means.py
@@ -52,7 +52,7 @@
     sender: senders.Sender
     balancer: balance.Balancer
     budget: extras.SharedBudget
-    ownership: ownerships.Ownership
+    ownership: ownerships.OwnerClient
     guard: quarantine.Guard
     accounts: accounts_module.Accounts
     rate_limits: ratelimits.RateLimits
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -127,7 +127,7 @@
         self._accounts = accounts_module.Accounts(
             self._directory, bounds.quota
         )
-        self._ownership = ownerships.Ownership(
+        self._ownership = ownerships.OwnerClient(
             self._directory,
             settings.data_centre,
             self._grants,
@@ -180,7 +180,7 @@
         elif isinstance(message, messages.Permit | messages.Permitted):
             self._rate_limits.take(member, message)
         else:
-            self._ownership.take(member, message)
+            self._ownership.handle_message(member, message)
 
     def _answered(
         self,
@@ -202,7 +202,7 @@
         """Start the tasks that go on until the end."""
         self._directory.run()
         self._mesh.run()
-        self._ownership.run(self._mesh, self._background)
+        self._ownership.start(self._mesh, self._background)
         reports.Reports(
             self._directory,
             self._mesh,
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -47,11 +47,11 @@
 if there was no budget for a further attempt."""
 _log = logs.Log('owner')
 
-Word = (
+OwnerReply = (
     messages.Queued | messages.PlacedAt | messages.GivenUp | messages.Declined
 )
-Reply = collections.abc.Callable[[Word], None]
-Deliver = collections.abc.Callable[[ids.MemberId, Word], None]
+ReplyFunction = collections.abc.Callable[[OwnerReply], None]
+DeliverFunction = collections.abc.Callable[[ids.MemberId, OwnerReply], None]
 
 
 class Owner:
@@ -71,7 +71,7 @@
         budget: extras.GrantedBudget,
         accounts: accounts_module.Accounts,
         limiter: ratelimits.Limiter,
-        deliver: Deliver,
+        deliver: DeliverFunction,
     ) -> None:
         self._directory = directory
         self._budget = budget
@@ -79,11 +79,11 @@
         self._limiter = limiter
         self._deliver = deliver
         self._dispatchers: dict[ids.ServiceName, dispatch.Dispatcher] = {}
-        self._replies: dict[ids.StreamId, Reply] = {}
+        self._replies: dict[ids.StreamId, ReplyFunction] = {}
         self._due = asyncio.Event()
-        directory.on_change(self.replan)
+        directory.on_change(self.refresh_engines)
 
-    def run(self, background: tasks.Tasks) -> None:
+    def start(self, background: tasks.Tasks) -> None:
         """Start to decide."""
         background.keep('decide', self._decide_forever)
 
@@ -99,7 +99,9 @@
         """Requests that wait for engines."""
         return sum(d.waiting for d in self._dispatchers.values())
 
-    def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
+    def handle_message(
+        self, member: ids.MemberId, message: frames.AnyMessage
+    ) -> None:
         """Take a message of a gateway, this one included."""
         now = clock.now()
         if isinstance(message, messages.Place):
@@ -133,7 +135,7 @@
             for service, dispatcher in self._dispatchers.items()
         )
 
-    def adopt(self, back: messages.BeatBack) -> None:
+    def adopt_figures(self, back: messages.BeatBack) -> None:
         """Take what another owner has measured."""
         for told in back.figures:
             dispatcher = self._dispatcher(told.service)
@@ -165,7 +167,7 @@
         self, member: ids.MemberId, place: messages.Place, now: float
     ) -> None:
 
-        def reply(word: Word) -> None:
+        def reply(word: OwnerReply) -> None:
             self._deliver(member, word)
 
         dispatcher = self._dispatcher(place.service)
@@ -255,7 +257,7 @@
             self._set_engines(service, found)
         return found
 
-    def replan(self) -> None:
+    def refresh_engines(self) -> None:
         """Take the upstreams and services that the directory knows."""
         config = self._directory.config
         for name in config.services if config is not None else ():
@@ -301,7 +303,7 @@
     def _announce(self, decision: generations.Decision) -> None:
         job = decision.job
         reply = self._replies.pop(job.stream, None)
-        word: Word
+        word: OwnerReply
         if isinstance(decision, generations.Placed):
             word = messages.PlacedAt(
                 job.stream,
--- a/galenahatch/gateway/ownership.py
+++ b/galenahatch/gateway/ownership.py
@@ -39,16 +39,16 @@
 from galenahatch import tasks
 from galenahatch import timeouts
 
-ACK_WITHIN: typing.Final = 0.12
+ACK_TIMEOUT_S: typing.Final = 0.12
 """Seconds for the owner's first word. Round trips take some ms; a frozen or
 cut owner costs a request this much and not its objective."""
 _LOOK_AGAIN: typing.Final = 0.25
 """Seconds between two looks at whether the owner still answers."""
-Found = messages.PlacedAt | messages.GivenUp
+PlacementResult = messages.PlacedAt | messages.GivenUp
 
 
 @dataclasses.dataclass
-class Wish:
+class PlacementRequest:
     """A generation that wants engines; moments are monotonic seconds.
 
     Attributes:
@@ -59,22 +59,22 @@
 
     stream: ids.StreamId
     service: ids.ServiceName
-    prompt: int
-    hint: int
-    most: int
+    prompt_tokens: int
+    estimated_output: int
+    max_output: int
     start_by: float
-    leaves_at: float
+    caller_leaves_at: float
     deadline: float
-    subject: str
+    last_block_id: str
     avoid: tuple[ids.UpstreamId, ...] = ()
-    going_on: bool = False
-    is_read: bool = False
+    is_resumed: bool = False
+    is_prefilled: bool = False
     longest_pause: float = 0.0
     attempt: int = 1
-    extra: int = 0
+    extra_sends: int = 0
     is_suspect: bool = False
     customer: ids.CustomerName = ids.CustomerName('')
-    units: float = 0.0
+    quota_units: float = 0.0
     priority: int = 0
 
 
@@ -92,7 +92,7 @@
     began_at: float | None = None
 
 
-class Ownership:
+class OwnerClient:
     """This gateway's talk with the owner.
 
     Args:
@@ -117,30 +117,32 @@
         self._paused = paused
         self._data_centre = data_centre
         self._mesh: meshes.Mesh | None = None
-        self._asked: dict[ids.StreamId, asyncio.Queue[owners.Word]] = {}
+        self._asked: dict[ids.StreamId, asyncio.Queue[owners.OwnerReply]] = {}
         self._held: dict[ids.StreamId, _Running] = {}
         self._placed_by: dict[ids.StreamId, ids.MemberId] = {}
         self.owner = owners.Owner(
             directory, budget, accounts, limiter, self._deliver
         )
 
-    def run(self, mesh: meshes.Mesh, background: tasks.Tasks) -> None:
+    def start(self, mesh: meshes.Mesh, background: tasks.Tasks) -> None:
         """Start to decide and to ask."""
         self._mesh = mesh
         mesh.held = self._held_now
         mesh.figures = self.owner.figures
-        self.owner.run(background)
+        self.owner.start(background)
 
-    def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
+    def handle_message(
+        self, member: ids.MemberId, message: frames.AnyMessage
+    ) -> None:
         """Take a message of another gateway."""
         if isinstance(message, messages.BeatBack):
-            self.owner.adopt(message)
-        elif isinstance(message, owners.Word):
+            self.owner.adopt_figures(message)
+        elif isinstance(message, owners.OwnerReply):
             self._take_word(member, message)
         else:
-            self.owner.take(member, message)
+            self.owner.handle_message(member, message)
 
-    def _deliver(self, member: ids.MemberId, word: owners.Word) -> None:
+    def _deliver(self, member: ids.MemberId, word: owners.OwnerReply) -> None:
         """Send a word of this gateway as the owner."""
         assert self._mesh is not None
         if member == self._mesh.me:
@@ -148,10 +150,10 @@
         else:
             self._mesh.reply(member, word)
 
-    async def place(self, wish: Wish) -> Found:
+    async def place(self, wish: PlacementRequest) -> PlacementResult:
         """Return the engines of a generation, or when to come back."""
         assert self._mesh is not None
-        words: asyncio.Queue[owners.Word] = asyncio.Queue()
+        words: asyncio.Queue[owners.OwnerReply] = asyncio.Queue()
         self._asked[wish.stream] = words
         try:
             while True:
@@ -160,7 +162,7 @@
                 word = await self._first_word(owner, words)
                 if isinstance(word, messages.Queued):
                     word = await self._last_word(owner, words)
-                if isinstance(word, Found):
+                if isinstance(word, PlacementResult):
                     if isinstance(word, messages.PlacedAt):
                         self._placed_by[wish.stream] = owner
                     return word
@@ -171,30 +173,30 @@
         finally:
             del self._asked[wish.stream]
 
-    def _submit(self, owner: ids.MemberId, wish: Wish) -> None:
+    def _submit(self, owner: ids.MemberId, wish: PlacementRequest) -> None:
         assert self._mesh is not None
         now = clock.now()
         message = messages.Place(
             stream=wish.stream,
             member=self._mesh.me,
             service=wish.service,
-            prompt=wish.prompt,
-            hint=wish.hint,
-            most=wish.most,
+            prompt=wish.prompt_tokens,
+            hint=wish.estimated_output,
+            most=wish.max_output,
             start_within=wish.start_by - now,
             end_within=wish.deadline - now,
-            subject=wish.subject,
+            subject=wish.last_block_id,
             data_centre=self._data_centre,
             avoid=wish.avoid,
-            going_on=wish.going_on,
-            is_read=wish.is_read,
-            leave_within=wish.leaves_at - now,
+            going_on=wish.is_resumed,
+            is_read=wish.is_prefilled,
+            leave_within=wish.caller_leaves_at - now,
             longest_pause=wish.longest_pause,
             attempt=wish.attempt,
-            extra=wish.extra,
+            extra=wish.extra_sends,
             is_suspect=wish.is_suspect,
             customer=wish.customer,
-            units=wish.units,
+            units=wish.quota_units,
             priority=wish.priority,
             paused=tuple(
                 records.Paused(*item) for item in self._paused().items()
@@ -203,19 +205,19 @@
         self._tell(owner, message)
 
     async def _first_word(
-        self, owner: ids.MemberId, words: 'asyncio.Queue[owners.Word]'
-    ) -> owners.Word | None:
+        self, owner: ids.MemberId, words: 'asyncio.Queue[owners.OwnerReply]'
+    ) -> owners.OwnerReply | None:
         assert self._mesh is not None
         try:
-            async with timeouts.limit(ACK_WITHIN):
+            async with timeouts.limit(ACK_TIMEOUT_S):
                 return await words.get()
         except asyncio.TimeoutError:
             self._mesh.suspect(owner)
             return None
 
     async def _last_word(
-        self, owner: ids.MemberId, words: 'asyncio.Queue[owners.Word]'
-    ) -> owners.Word | None:
+        self, owner: ids.MemberId, words: 'asyncio.Queue[owners.OwnerReply]'
+    ) -> owners.OwnerReply | None:
         assert self._mesh is not None
         while True:
             try:
@@ -228,7 +230,7 @@
             if not isinstance(word, messages.Queued):
                 return word
 
-    def hold(
+    def track_running(
         self, held: messages.Held, made: collections.abc.Callable[[], int]
     ) -> None:
         """Note a generation that was sent to its decode engine.
@@ -239,7 +241,7 @@
         """
         self._held[held.stream] = _Running(held, made)
 
-    def prefilled(
+    def report_prefilled(
         self,
         stream: ids.StreamId,
         service: ids.ServiceName,
@@ -252,7 +254,7 @@
             message = messages.Prefilled(stream, service, tokens, seconds)
             self._tell(owner, message)
 
-    def started(self, stream: ids.StreamId) -> None:
+    def report_started(self, stream: ids.StreamId) -> None:
         """Tell of the first event of a stream."""
         found = self._held.get(stream)
         owner = self._placed_by.get(stream)
@@ -268,7 +270,7 @@
         if owner is not None:
             self._tell(owner, release)
 
-    def give_back(self, customer: ids.CustomerName, units: float) -> None:
+    def refund_units(self, customer: ids.CustomerName, units: float) -> None:
         """Tell that a generation which was granted units has not run."""
         assert self._mesh is not None
         message = messages.GivenBack(customer, units)
@@ -288,11 +290,13 @@
     def _tell(self, owner: ids.MemberId, message: frames.AnyMessage) -> None:
         assert self._mesh is not None
         if owner == self._mesh.me:
-            self.take(owner, message)
+            self.handle_message(owner, message)
         else:
             self._mesh.send(owner, message)
 
-    def _take_word(self, member: ids.MemberId, word: owners.Word) -> None:
+    def _take_word(
+        self, member: ids.MemberId, word: owners.OwnerReply
+    ) -> None:
         words = self._asked.get(word.stream)
         if words is not None:
             words.put_nowait(word)
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -136,7 +136,7 @@
         if isinstance(done, errors.Failure):
             return Again(engine.id, done.detail, (engine.id,))
         self._keep(engine, done.handle)
-        self._means.ownership.prefilled(
+        self._means.ownership.report_prefilled(
             stream, self._service, self._tokens, clock.now() - now
         )
         return None
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -76,7 +76,7 @@
                 continue
             for service, dispatcher in list(self._owner.dispatchers.items()):
                 await self._read_service(service, dispatcher)
-            self._owner.replan()
+            self._owner.refresh_engines()
 
     async def _read_service(
         self, service: ids.ServiceName, dispatcher: dispatch.Dispatcher
