--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -145,7 +145,7 @@
         self._guard.announce = self._announce
         self._accounts.on_usage = self._announce_used
         self._accounts.gateway_count = lambda: self.size
-        self._rate_limits.join(self)
+        self._rate_limits.set_peers(self)
         self._notices.tell_owner = self.tell_owner
 
     @property
@@ -242,7 +242,7 @@
             self._directory.hears_store,
             self._guard.tell(),
             self._accounts.take_unreported(),
-            self._rate_limits.tell(),
+            self._rate_limits.snapshot(),
             self._notices.tell(),
             self._directory.upstreams_version.era,
             self._members.order.era,
@@ -253,7 +253,7 @@
         else:
             part = 1.0
         self._accounts.set_owned_share(part)
-        self._rate_limits.decides_for(part)
+        self._rate_limits.set_owned_share(part)
         self.tell_owner(message)
 
     def _part(self, now: float) -> float:
@@ -314,7 +314,7 @@
             self._hear(message.member, message)
             self._exchange.add_reported(message.outcomes)
             self._accounts.add_reported(message.used)
-            self._rate_limits.hear(message.rate_limits)
+            self._rate_limits.merge_reported(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
             self._guard.hear(message.suspicions)
             self.reply(
@@ -332,7 +332,7 @@
                     self._members.order.number,
                     self._guard.tell(),
                     self._accounts.nearly_exhausted(),
-                    self._rate_limits.tell(),
+                    self._rate_limits.snapshot(),
                     self._notices.tell(),
                     self._directory.upstreams_version.era,
                     self._members.order.era,
@@ -356,7 +356,7 @@
             if name == self._members.owner(self.leaving, clock.now()):
                 self._exchange.apply_owner_totals(message.outcomes)
             self._accounts.apply_remaining(message.low)
-            self._rate_limits.hear(message.rate_limits)
+            self._rate_limits.merge_reported(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
             self._guard.hear(message.suspicions)
             self._compare(message)
@@ -403,7 +403,7 @@
         elif isinstance(message, messages.Suspicions):
             self._guard.hear(message.told)
         elif isinstance(message, messages.RateLimits):
-            self._rate_limits.hear(message.told)
+            self._rate_limits.merge_reported(message.told)
         elif isinstance(message, messages.Leaving):
             self._notices.hear(message.upstreams)
         elif isinstance(message, messages.Spent):
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -178,7 +178,7 @@
         if isinstance(message, messages.Change | messages.Changed):
             self._orders.take(member, message)
         elif isinstance(message, messages.Permit | messages.Permitted):
-            self._rate_limits.take(member, message)
+            self._rate_limits.handle_message(member, message)
         else:
             self._ownership.handle_message(member, message)
 
@@ -189,7 +189,7 @@
         head: calls.ResponseHead,
     ) -> None:
         """Take what an upstream's answer says of the next requests."""
-        self._rate_limits.answered(upstream, sent_at, head)
+        self._rate_limits.observe_response(upstream, sent_at, head)
         self._notices.answered(upstream, sent_at, head)
 
     def _end_waits(self, upstream: ids.UpstreamId) -> None:
@@ -250,7 +250,7 @@
             known = self._directory.registry.known
             self._balancer.forget(known)
             self._exchange.prune(known)
-            self._rate_limits.forget(known)
+            self._rate_limits.prune(known)
             self._notices.forget(known)
             await asyncio.sleep(_MEMBERS_EVERY)
 
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -130,7 +130,7 @@
             )
             if chosen is None:
                 break
-            wait = await self._means.rate_limits.permit(chosen.id)
+            wait = await self._means.rate_limits.acquire(chosen.id)
             if not wait and self._takes_work(chosen.id):
                 return chosen
             self._limited[chosen.id] = wait
--- a/galenahatch/gateway/ratelimits.py
+++ b/galenahatch/gateway/ratelimits.py
@@ -104,7 +104,7 @@
         instruments.watch(instruments.RATE_LIMIT, self._rates)
         instruments.watch(instruments.LIMITED_SECONDS, self._ages)
 
-    def join(self, peers: Peers) -> None:
+    def set_peers(self, peers: Peers) -> None:
         """Talk to other gateways from now on."""
         self._peers = peers
 
@@ -115,7 +115,7 @@
 
     # What upstreams say.
 
-    def answered(
+    def observe_response(
         self,
         upstream: ids.UpstreamId,
         sent_at: float,
@@ -137,7 +137,7 @@
             return
         self._changed(upstream, 'answer', head.request_id)
         if self._peers is not None:
-            self._peers.tell_owner(messages.RateLimits(self.tell()))
+            self._peers.tell_owner(messages.RateLimits(self.snapshot()))
 
     def _changed(
         self, upstream: ids.UpstreamId, source: str, request: str = ''
@@ -167,7 +167,7 @@
         self._logged_at[upstream] = now
         return True
 
-    def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
+    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
         self._limiter.forget(known, clock.now())
         for gone in [key for key in self._logged_at if key not in known]:
@@ -177,14 +177,14 @@
 
     # What gateways tell each other.
 
-    def tell(self) -> tuple[records.RateLimit, ...]:
+    def snapshot(self) -> tuple[records.RateLimit, ...]:
         """Return what other gateways should know."""
         return tuple(
             records.RateLimit(one.upstream, one.rate, one.age)
             for one in self._notices.tell(clock.now())
         )
 
-    def hear(self, told: tuple[records.RateLimit, ...]) -> None:
+    def merge_reported(self, told: tuple[records.RateLimit, ...]) -> None:
         """Take what another gateway tells."""
         now = clock.now()
         for one in told:
@@ -192,11 +192,13 @@
             if self._notices.hear(notice, now):
                 self._changed(one.upstream, 'peer')
 
-    def decides_for(self, part: float) -> None:
+    def set_owned_share(self, part: float) -> None:
         """Note for which part of all gateways this one decides."""
         self._limiter.decide_for(part)
 
-    def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
+    def handle_message(
+        self, member: ids.MemberId, message: frames.AnyMessage
+    ) -> None:
         """Take a question, or the answer to one."""
         if isinstance(message, messages.Permitted):
             question = self._questions.get(message.number)
@@ -204,13 +206,13 @@
                 question.set_result(message.wait)
         elif isinstance(message, messages.Permit):
             assert self._peers is not None
-            self.hear((message.limit,))
+            self.merge_reported((message.limit,))
             wait = self._decide(message.limit.upstream)
             self._peers.reply(member, messages.Permitted(message.number, wait))
 
     # Plain calls.
 
-    async def permit(self, upstream: ids.UpstreamId) -> float:
+    async def acquire(self, upstream: ids.UpstreamId) -> float:
         """Count one request to an upstream.
 
         Returns:
--- a/galenahatch/test/test_ratelimits.py
+++ b/galenahatch/test/test_ratelimits.py
@@ -379,13 +379,13 @@
     """One that has heard no beat yet grants no more than the limit."""
     asking, owner = gateway_limits.RateLimits(), gateway_limits.RateLimits()
     asked, answered = _SilentPeers(), _SilentPeers()
-    asking.join(asked)
-    owner.join(answered)
-    asking.hear((records.RateLimit(_UP, 2.0, 0.0),))
-    asyncio.run(asking.permit(_UP))
+    asking.set_peers(asked)
+    owner.set_peers(answered)
+    asking.merge_reported((records.RateLimit(_UP, 2.0, 0.0),))
+    asyncio.run(asking.acquire(_UP))
     (question,) = asked.sent
     for _ in range(20):
-        owner.take(ids.MemberId('me'), question)
+        owner.handle_message(ids.MemberId('me'), question)
     waits = [answer.wait for answer in answered.answers]
     assert waits.count(0.0) < 5
 
@@ -396,9 +396,9 @@
     async def ask() -> list[float]:
         limits = gateway_limits.RateLimits()
         peers = _SilentPeers()
-        limits.join(peers)
-        limits.hear((records.RateLimit(_UP, 2.0, 0.0),))
-        waits = [await limits.permit(_UP) for _ in range(5)]
+        limits.set_peers(peers)
+        limits.merge_reported((records.RateLimit(_UP, 2.0, 0.0),))
+        waits = [await limits.acquire(_UP) for _ in range(5)]
         assert len(peers.sent) == 1
         return waits
 
