--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -203,14 +203,14 @@
         self._directory.run()
         self._mesh.run()
         self._ownership.start(self._mesh, self._background)
-        reports.Reports(
+        reports.ReportPoller(
             self._directory,
             self._mesh,
             self._ownership.owner,
             self._sender,
             self._rate_limits.limiter,
             self._notices,
-        ).run(self._background)
+        ).start(self._background)
         self._orders.run()
         self._background.keep('members', self._look_around)
 
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -37,7 +37,7 @@
 _log = logs.Log('reports')
 
 
-class Reports:
+class ReportPoller:
     """Keeps the owner's picture of the engines true.
 
     Args:
@@ -65,7 +65,7 @@
         self._sender = sender
         self._limiter = limiter
 
-    def run(self, background: tasks.Tasks) -> None:
+    def start(self, background: tasks.Tasks) -> None:
         """Start to read."""
         background.keep('reports', self._forever)
 
