--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -187,8 +187,6 @@
         most = max(self._spec.stride, self._prompt.max_output - made)
         return self._prompt.tokens + made, most
 
-    # One attempt.
-
     async def _attempt(
         self, stream: ids.StreamId, placed: messages.PlacedAt
     ) -> means_module.Whole | errors.Failure | prefill.Again | None:
@@ -286,8 +284,8 @@
                 wire.outgoing(self._call, directions),
                 wire.answer_head,
                 timeout=self._patience(left),
-                connect=_CONNECT,
-                keep=False,
+                connect_timeout=_CONNECT,
+                use_pool=False,
             )
             if isinstance(answer, senders.FailedSend):
                 known = answer.fate
@@ -327,7 +325,7 @@
             lost.detail,
             tuple(at_fault),
             unreachable=lost.fate is fate.Fate.NOT_SENT,
-            cut=engine if lost.is_connection_lost else None,
+            cut=engine if lost.is_disconnect else None,
         )
 
     async def _take(
@@ -366,9 +364,7 @@
                 if means_module.over(self._end_by):
                     raise Broken('deadline')
                 self._log_lost('Stream lost.', engine, data)
-                return self._broke_off(
-                    engine, data.detail, data.is_connection_lost
-                )
+                return self._broke_off(engine, data.detail, data.is_disconnect)
             if not data:
                 if self._relay.is_within_event:
                     detail = 'ended within an event'
@@ -396,8 +392,6 @@
             engine.id, detail, (engine.id,), cut=engine if is_cut else None
         )
 
-    # Ends.
-
     def _held_back(self) -> errors.Failure:
         failure = self._means.guard.failure(self._call)
         if self._relay.has_reached_caller:
@@ -427,11 +421,8 @@
         return errors.Failure(errors.SEND_INTERRUPTED, self._detail)
 
     def _log_lost(
-        self,
-        sentence: str,
-        engine: upstreams.Upstream,
-        lost: senders.FailedSend,
+        self, text: str, engine: upstreams.Upstream, lost: senders.FailedSend
     ) -> None:
         seconds = clock.now() - self._sent_at
         events = self._relay.count
-        ending.lost(sentence, self._call, engine.id, lost, events, seconds)
+        ending.lost(text, self._call, engine.id, lost, events, seconds)
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -98,7 +98,7 @@
             done = self._judge(attempt)
             if done is not None:
                 return done
-            if attempt.lost is not None and attempt.lost.is_connection_lost:
+            if attempt.lost is not None and attempt.lost.is_disconnect:
                 await self._means.guard.cut(self._call, upstream)
             if self._means.guard.holds(self._call):
                 return self._means.guard.failure(self._call)
@@ -172,8 +172,8 @@
                 headers,
                 wire.answer_head,
                 timeout=left * share,
-                connect=min(_CONNECT, left),
-                keep=not once,
+                connect_timeout=min(_CONNECT, left),
+                use_pool=not once,
             )
             if isinstance(answer, senders.FailedSend):
                 attempt.lost = answer
@@ -210,7 +210,7 @@
                 fate.Fate.UNCERTAIN,
                 'answer not whole',
                 head=answer.head,
-                is_connection_lost=body is None,
+                is_disconnect=body is None,
             )
 
     def _note(self, attempt: _Attempt, seconds: float) -> None:
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -159,7 +159,7 @@
             lost.detail,
             (engine.id,),
             unreachable=unreachable,
-            cut=engine if lost.is_connection_lost else None,
+            cut=engine if lost.is_disconnect else None,
         )
 
     async def _send(
@@ -179,8 +179,8 @@
             wire.outgoing(self._call, directions),
             wire.answer_head,
             timeout=min(left, _LIMIT),
-            connect=_CONNECT,
-            keep=True,
+            connect_timeout=_CONNECT,
+            use_pool=True,
         )
 
     def _keep(self, engine: upstreams.Upstream, handle: str) -> None:
--- a/galenahatch/gateway/sender.py
+++ b/galenahatch/gateway/sender.py
@@ -86,7 +86,7 @@
     fate: fate.Fate
     detail: str
     head: calls.ResponseHead | None = None
-    is_connection_lost: bool = False
+    is_disconnect: bool = False
 
 
 class _Protocol(client_proto.ResponseHandler):
@@ -225,9 +225,7 @@
             return FailedSend(fate.Fate.UNCERTAIN, 'silent')
         except http.ERRORS as error:
             detail = f'{type(error).__name__} {error}'
-            return FailedSend(
-                fate.Fate.UNCERTAIN, detail, is_connection_lost=True
-            )
+            return FailedSend(fate.Fate.UNCERTAIN, detail, is_disconnect=True)
 
     def close(self) -> None:
         """Close the connection: the upstream stops its work."""
@@ -262,32 +260,30 @@
         headers: Headers,
         decode: typing.Callable[[int, typing.Any], calls.ResponseHead],
         timeout: float,
-        connect: float,
-        keep: bool,
+        connect_timeout: float,
+        use_pool: bool,
     ) -> Response | FailedSend:
-        """Send a request; return the head of its answer.
+        """Send a request and return the head of its response.
 
         Args:
-            upstream: that it goes to.
-            request: of the caller.
-            headers: to send.
-            decode: reads the head of an answer.
-            timeout: seconds until the head must have come.
-            connect: seconds for a connection.
-            keep: use a kept connection, and keep it.
+            upstream: Destination of the request.
+            decode: Parses the status and the raw headers of the response.
+            timeout: Seconds until the head must have arrived.
+            connect_timeout: Seconds for establishing a connection.
+            use_pool: Whether to use a pooled connection and keep it open.
         """
-        limits = aiohttp.ClientTimeout(total=None, sock_connect=connect)
+        limit = aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout)
         sent_at = clock.now()
         try:
             async with self.waits.limit(upstream.id, timeout):
-                response = await self._session(keep).request(
+                response = await self._session(use_pool).request(
                     request.method,
                     _url(upstream.address, request.target),
                     data=request.body or None,
                     headers=headers,
                     skip_auto_headers=_SKIPPED,
                     allow_redirects=False,
-                    timeout=limits,
+                    timeout=limit,
                 )
         except http.NOT_CONNECTED as error:
             return FailedSend(fate.Fate.NOT_SENT, repr(error))
@@ -295,7 +291,7 @@
             return FailedSend(fate.Fate.UNCERTAIN, 'no answer')
         except http.ERRORS as error:
             return FailedSend(
-                fate.Fate.UNCERTAIN, repr(error), is_connection_lost=True
+                fate.Fate.UNCERTAIN, repr(error), is_disconnect=True
             )
         head = decode(response.status, response.raw_headers)
         answer = Response(response, head, upstream.id, self.waits)
