--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -13,7 +13,7 @@
 """The course of a request to a model: place, prefill, decode, pass on.
 
 The prompt is read at one engine and the answer made at another, which takes
-the KV cache over. Engines are chosen by the owner (`ownership`). Whatever
+the KV cache over. Engines are chosen by the owner (`owner_client`). Whatever
 is held at an engine for a request that does not go on is freed: closing the
 connection ends its work, and a finished prefill is dropped by its handle.
 
@@ -36,7 +36,7 @@
 from galenahatch.gateway import ending
 from galenahatch.gateway import means as means_module
 from galenahatch.gateway import messages
-from galenahatch.gateway import ownership as ownerships
+from galenahatch.gateway import owner_client
 from galenahatch.gateway import prefill
 from galenahatch.gateway import relay as relays
 from galenahatch.gateway import sender as senders
@@ -155,11 +155,11 @@
 
     def _wish(
         self, stream: ids.StreamId, attempt: int
-    ) -> ownerships.PlacementRequest:
+    ) -> owner_client.PlacementRequest:
         made = self._relay.count * self._spec.stride
         likely = self._prompt.estimated_output or 0
         prompt, most = self._sizes()
-        return ownerships.PlacementRequest(
+        return owner_client.PlacementRequest(
             stream=stream,
             service=self._service.name,
             prompt_tokens=prompt,
--- a/galenahatch/gateway/means.py
+++ b/galenahatch/gateway/means.py
@@ -24,7 +24,7 @@
 from galenahatch.gateway import calls
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import notices as notices_module
-from galenahatch.gateway import ownership as ownerships
+from galenahatch.gateway import owner_client
 from galenahatch.gateway import quarantine
 from galenahatch.gateway import ratelimits
 from galenahatch.gateway import sender as senders
@@ -52,7 +52,7 @@
     sender: senders.Sender
     balancer: balance.Balancer
     budget: extras.SharedBudget
-    ownership: ownerships.OwnerClient
+    ownership: owner_client.OwnerClient
     guard: quarantine.Guard
     accounts: accounts_module.Accounts
     rate_limits: ratelimits.RateLimits
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -32,7 +32,7 @@
 from galenahatch.gateway import connections
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import frames
-from galenahatch.gateway import front as fronts
+from galenahatch.gateway import frontend
 from galenahatch.gateway import instruments
 from galenahatch.gateway import means as means_module
 from galenahatch.gateway import mesh as meshes
@@ -40,7 +40,7 @@
 from galenahatch.gateway import notices
 from galenahatch.gateway import orders
 from galenahatch.gateway import outcomes
-from galenahatch.gateway import ownership as ownerships
+from galenahatch.gateway import owner_client
 from galenahatch.gateway import quarantine
 from galenahatch.gateway import ratelimits
 from galenahatch.gateway import reports
@@ -127,7 +127,7 @@
         self._accounts = accounts_module.Accounts(
             self._directory, bounds.quota
         )
-        self._ownership = ownerships.OwnerClient(
+        self._ownership = owner_client.OwnerClient(
             self._directory,
             settings.data_centre,
             self._grants,
@@ -216,7 +216,7 @@
 
     async def _listen(self) -> None:
         settings = self._settings
-        self._front = fronts.HttpFrontend(
+        self._front = frontend.HttpFrontend(
             means_module.Means(
                 directory=self._directory,
                 sender=self._sender,
