--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -13,7 +13,7 @@
 """The course of a request to a model: place, prefill, decode, pass on.
 
 The prompt is read at one engine and the answer made at another, which takes
-the KV cache over. Engines are chosen by the owner (`ownership`). Whatever
+the KV cache over. Engines are chosen by the owner (`owner_client`). Whatever
 is held at an engine for a request that does not go on is freed: closing the
 connection ends its work, and a finished prefill is dropped by its handle.
 
@@ -36,7 +36,7 @@
 from galenahatch.gateway import ending
 from galenahatch.gateway import means as means_module
 from galenahatch.gateway import messages
-from galenahatch.gateway import ownership as ownerships
+from galenahatch.gateway import owner_client
 from galenahatch.gateway import prefill
 from galenahatch.gateway import relay as relays
 from galenahatch.gateway import sender as senders
@@ -85,7 +85,7 @@
         self._spec = service.engine
         self._prompt = call.prompt
         self._sends = fate.Sends()
-        self._relay = relays.Relay(sink, call.last_event)
+        self._relay = relays.Relay(sink, call.last_event_id)
         self._avoid: list[ids.UpstreamId] = []
         self._end_by = means_module.end_by(call, route)
         self._decodes = 0
@@ -122,9 +122,9 @@
 
     def _give_back(self, failure: errors.Failure) -> None:
         """Return what the customer was charged for what has not run."""
-        units = self._call.units
+        units = self._call.quota_units
         if units and failure.outcome is errors.Outcome.NOT_RUN:
-            self._means.ownership.give_back(self._call.customer_name, units)
+            self._means.ownership.refund_units(self._call.customer_name, units)
 
     async def _run(self) -> means_module.Whole | errors.Failure | None:
         for number in range(1, _MOST_PLACES + 1):
@@ -153,40 +153,40 @@
                 break
         return self._failure()
 
-    def _wish(self, stream: ids.StreamId, attempt: int) -> ownerships.Wish:
+    def _wish(
+        self, stream: ids.StreamId, attempt: int
+    ) -> owner_client.PlacementRequest:
         made = self._relay.count * self._spec.stride
-        likely = self._prompt.likely_output or 0
+        likely = self._prompt.estimated_output or 0
         prompt, most = self._sizes()
-        return ownerships.Wish(
+        return owner_client.PlacementRequest(
             stream=stream,
             service=self._service.name,
-            prompt=prompt,
-            hint=max(0, likely - made),
-            most=most,
+            prompt_tokens=prompt,
+            estimated_output=max(0, likely - made),
+            max_output=most,
             start_by=self._call.arrived_at + self._route.objective,
-            leaves_at=means_module.leaves_at(self._call, self._route),
+            caller_leaves_at=means_module.leaves_at(self._call, self._route),
             deadline=self._end_by,
-            subject=self._prompt.subject,
+            last_block_id=self._prompt.last_block_id,
             avoid=tuple(self._avoid),
-            going_on=self._relay.has_reached_caller,
-            is_read=bool(self._reader.source()),
+            is_resumed=self._relay.has_reached_caller,
+            is_prefilled=bool(self._reader.source()),
             longest_pause=self._route.longest_pause,
             attempt=attempt,
-            extra=self._reader.extra_sends() + (self._decodes > 0),
+            extra_sends=self._reader.extra_sends() + (self._decodes > 0),
             is_suspect=self._means.guard.suspects(self._call),
             customer=self._call.customer_name,
-            units=self._call.units if attempt == 1 else 0.0,
+            quota_units=self._call.quota_units if attempt == 1 else 0.0,
             priority=means_module.priority(self._call, self._route),
         )
 
     def _sizes(self) -> tuple[int, int]:
         """Return the tokens to read now, and those still made at most."""
         made = self._relay.count * self._spec.stride
-        most = max(self._spec.stride, self._prompt.most_output - made)
+        most = max(self._spec.stride, self._prompt.max_output - made)
         return self._prompt.tokens + made, most
 
-    # One attempt.
-
     async def _attempt(
         self, stream: ids.StreamId, placed: messages.PlacedAt
     ) -> means_module.Whole | errors.Failure | prefill.Again | None:
@@ -265,13 +265,13 @@
         held = messages.Held(
             stream, self._service.name, engine.id, prompt, output, most, -1.0
         )
-        self._means.ownership.hold(held, self._made)
+        self._means.ownership.track_running(held, self._made)
         left = means_module.left(self._end_by)
-        directions = calls.Directions(
+        directions = calls.ForwardingOptions(
             engine.id,
             left,
             kv_source=self._reader.source(),
-            last_event=self._relay.last_event,
+            last_event_id=self._relay.last_event,
             priority=self._call.priority,
         )
         self._sends.begin()
@@ -284,10 +284,10 @@
                 wire.outgoing(self._call, directions),
                 wire.answer_head,
                 timeout=self._patience(left),
-                connect=_CONNECT,
-                keep=False,
+                connect_timeout=_CONNECT,
+                use_pool=False,
             )
-            if isinstance(answer, senders.Lost):
+            if isinstance(answer, senders.FailedSend):
                 known = answer.fate
                 return self._decode_lost(engine, answer)
             known = fate.Fate.ANSWERED
@@ -309,7 +309,7 @@
         return min(left, _SILENCE_PAUSES * self._route.longest_pause)
 
     def _decode_lost(
-        self, engine: upstreams.Upstream, lost: senders.Lost
+        self, engine: upstreams.Upstream, lost: senders.FailedSend
     ) -> prefill.Again:
         self._log_lost('Decode lost.', engine, lost)
         # A refusal says that the engine takes no more, or that the handle is
@@ -325,18 +325,18 @@
             lost.detail,
             tuple(at_fault),
             unreachable=lost.fate is fate.Fate.NOT_SENT,
-            cut=engine if lost.is_cut else None,
+            cut=engine if lost.is_disconnect else None,
         )
 
     async def _take(
         self,
         stream: ids.StreamId,
         engine: upstreams.Upstream,
-        answer: senders.Answer,
+        answer: senders.Response,
     ) -> means_module.Whole | errors.Failure | prefill.Again | None:
         """Pass an answer on to its end."""
         head = answer.head
-        if head.status >= 300 or head.encoded or not head.signed:
+        if head.status >= 300 or head.is_encoded or not head.is_signed:
             body = await answer.body()
             if head.status < 500 and head.status >= 300 and body is not None:
                 return means_module.Whole(head, body)
@@ -352,7 +352,7 @@
         self,
         stream: ids.StreamId,
         engine: upstreams.Upstream,
-        answer: senders.Answer,
+        answer: senders.Response,
     ) -> prefill.Again | None:
         self._relay.restart()
         began = False
@@ -360,11 +360,11 @@
             # What has come is passed on, also after the deadline.
             left = max(0.0, means_module.left(self._end_by))
             data = await answer.read(self._patience(left))
-            if isinstance(data, senders.Lost):
+            if isinstance(data, senders.FailedSend):
                 if means_module.over(self._end_by):
                     raise Broken('deadline')
                 self._log_lost('Stream lost.', engine, data)
-                return self._broke_off(engine, data.detail, data.is_cut)
+                return self._broke_off(engine, data.detail, data.is_disconnect)
             if not data:
                 if self._relay.is_within_event:
                     detail = 'ended within an event'
@@ -376,7 +376,7 @@
             if not began:
                 began = True
                 self._spent.made = self._relay.run_first_at - self._sent_at
-                self._means.ownership.started(stream)
+                self._means.ownership.report_started(stream)
             await self._relay.pass_on(answer.head, whole)
 
     def _broke_off(
@@ -392,8 +392,6 @@
             engine.id, detail, (engine.id,), cut=engine if is_cut else None
         )
 
-    # Ends.
-
     def _held_back(self) -> errors.Failure:
         failure = self._means.guard.failure(self._call)
         if self._relay.has_reached_caller:
@@ -406,7 +404,7 @@
         if not self._sends.surely_not_run:
             return errors.Failure(errors.SEND_INTERRUPTED, given_up.why)
         if given_up.is_over_quota:
-            return accounts.failure(given_up.why, given_up.retry_after)
+            return accounts.quota_failure(given_up.why, given_up.retry_after)
         return means_module.refusal(
             errors.NO_TIME, given_up.why, given_up.retry_after
         )
@@ -423,8 +421,8 @@
         return errors.Failure(errors.SEND_INTERRUPTED, self._detail)
 
     def _log_lost(
-        self, sentence: str, engine: upstreams.Upstream, lost: senders.Lost
+        self, text: str, engine: upstreams.Upstream, lost: senders.FailedSend
     ) -> None:
         seconds = clock.now() - self._sent_at
         events = self._relay.count
-        ending.lost(sentence, self._call, engine.id, lost, events, seconds)
+        ending.lost(text, self._call, engine.id, lost, events, seconds)
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -72,7 +72,7 @@
         notices: what else upstreams' answers say.
     """
 
-    outcomes: outcomes.Exchange
+    outcomes: outcomes.OutcomeExchange
     guard: quarantine.Guard
     accounts: accounts.Accounts
     rate_limits: ratelimits.RateLimits
@@ -143,9 +143,9 @@
         """Tell the parts that exchange words how others are reached."""
         self._directory.fed_by_peers = self._roster.fed_by_peers
         self._guard.announce = self._announce
-        self._accounts.announce = self._announce_used
-        self._accounts.size = lambda: self.size
-        self._rate_limits.join(self)
+        self._accounts.on_usage = self._announce_used
+        self._accounts.gateway_count = lambda: self.size
+        self._rate_limits.set_peers(self)
         self._notices.tell_owner = self.tell_owner
 
     @property
@@ -237,23 +237,23 @@
             self._directory.upstreams_version.number,
             self.leaving,
             self.held(),
-            self._exchange.take_new(),
+            self._exchange.take_unreported(),
             self._members.order.number,
             self._directory.hears_store,
             self._guard.tell(),
-            self._accounts.take_new(),
-            self._rate_limits.tell(),
+            self._accounts.take_unreported(),
+            self._rate_limits.snapshot(),
             self._notices.tell(),
             self._directory.upstreams_version.era,
             self._members.order.era,
         )
         if self._members.owner(self.leaving, now) == self.me:
-            self._exchange.decides()
+            self._exchange.apply_own_totals()
             part = self._part(now)
         else:
             part = 1.0
-        self._accounts.decides_for(part)
-        self._rate_limits.decides_for(part)
+        self._accounts.set_owned_share(part)
+        self._rate_limits.set_owned_share(part)
         self.tell_owner(message)
 
     def _part(self, now: float) -> float:
@@ -312,9 +312,9 @@
         if isinstance(message, messages.Beat):
             self._meet(message.member, peer)
             self._hear(message.member, message)
-            self._exchange.take(message.outcomes)
-            self._accounts.take(message.used)
-            self._rate_limits.hear(message.rate_limits)
+            self._exchange.add_reported(message.outcomes)
+            self._accounts.add_reported(message.used)
+            self._rate_limits.merge_reported(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
             self._guard.hear(message.suspicions)
             self.reply(
@@ -328,11 +328,11 @@
                     self._directory.hears_store,
                     self.size,
                     self.figures(),
-                    self._exchange.sums(),
+                    self._exchange.totals(),
                     self._members.order.number,
                     self._guard.tell(),
-                    self._accounts.low(),
-                    self._rate_limits.tell(),
+                    self._accounts.nearly_exhausted(),
+                    self._rate_limits.snapshot(),
                     self._notices.tell(),
                     self._directory.upstreams_version.era,
                     self._members.order.era,
@@ -354,9 +354,9 @@
             self._hear(name, message)
             self._members.told_size(message.members)
             if name == self._members.owner(self.leaving, clock.now()):
-                self._exchange.hear(message.outcomes)
-            self._accounts.hear(message.low)
-            self._rate_limits.hear(message.rate_limits)
+                self._exchange.apply_owner_totals(message.outcomes)
+            self._accounts.apply_remaining(message.low)
+            self._rate_limits.merge_reported(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
             self._guard.hear(message.suspicions)
             self._compare(message)
@@ -403,15 +403,15 @@
         elif isinstance(message, messages.Suspicions):
             self._guard.hear(message.told)
         elif isinstance(message, messages.RateLimits):
-            self._rate_limits.hear(message.told)
+            self._rate_limits.merge_reported(message.told)
         elif isinstance(message, messages.Leaving):
             self._notices.hear(message.upstreams)
         elif isinstance(message, messages.Spent):
-            self._accounts.take(message.used)
-            levels = self._accounts.levels(message.used)
+            self._accounts.add_reported(message.used)
+            levels = self._accounts.remaining(message.used)
             answer(name, messages.Left(levels))
         elif isinstance(message, messages.Left):
-            self._accounts.hear(message.levels)
+            self._accounts.apply_remaining(message.levels)
         else:
             self._handler(name, message)
 
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -32,7 +32,7 @@
 from galenahatch.gateway import connections
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import frames
-from galenahatch.gateway import front as fronts
+from galenahatch.gateway import frontend
 from galenahatch.gateway import instruments
 from galenahatch.gateway import means as means_module
 from galenahatch.gateway import mesh as meshes
@@ -40,7 +40,7 @@
 from galenahatch.gateway import notices
 from galenahatch.gateway import orders
 from galenahatch.gateway import outcomes
-from galenahatch.gateway import ownership as ownerships
+from galenahatch.gateway import owner_client
 from galenahatch.gateway import quarantine
 from galenahatch.gateway import ratelimits
 from galenahatch.gateway import reports
@@ -101,7 +101,7 @@
         settings = self._settings
         self._client = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
-                limit=0, socket_factory=senders.watched_socket
+                limit=0, socket_factory=senders.create_socket
             )
         )
         self._store = stores.Store(self._client, str(settings.store))
@@ -115,7 +115,7 @@
         self._sender = senders.Sender()
         self._rate_limits = ratelimits.RateLimits()
         self._notices = notices.Notices(self._directory)
-        self._sender.on_head = self._answered
+        self._sender.on_response_head = self._answered
         self._directory.on_start(self._end_waits)
         bounds = settings.bounds
         self._budget = extras.SharedBudget(
@@ -127,7 +127,7 @@
         self._accounts = accounts_module.Accounts(
             self._directory, bounds.quota
         )
-        self._ownership = ownerships.Ownership(
+        self._ownership = owner_client.OwnerClient(
             self._directory,
             settings.data_centre,
             self._grants,
@@ -136,7 +136,7 @@
             self._notices.paused,
         )
         self._balancer = balance.Balancer(clock.RANDOM, settings.data_centre)
-        self._exchange = outcomes.Exchange(self._balancer.outliers)
+        self._exchange = outcomes.OutcomeExchange(self._balancer.outliers)
         self._open_mesh()
 
     def _open_mesh(self) -> None:
@@ -178,23 +178,23 @@
         if isinstance(message, messages.Change | messages.Changed):
             self._orders.take(member, message)
         elif isinstance(message, messages.Permit | messages.Permitted):
-            self._rate_limits.take(member, message)
+            self._rate_limits.handle_message(member, message)
         else:
-            self._ownership.take(member, message)
+            self._ownership.handle_message(member, message)
 
     def _answered(
         self,
         upstream: ids.UpstreamId,
         sent_at: float,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
     ) -> None:
         """Take what an upstream's answer says of the next requests."""
-        self._rate_limits.answered(upstream, sent_at, head)
+        self._rate_limits.observe_response(upstream, sent_at, head)
         self._notices.answered(upstream, sent_at, head)
 
     def _end_waits(self, upstream: ids.UpstreamId) -> None:
         """Give up what is under way at the start before."""
-        ended = self._sender.waits.started(upstream)
+        ended = self._sender.waits.end_older_waits(upstream)
         if ended:
             _log.info('Waits ended.', upstream=upstream, waits=ended)
 
@@ -202,21 +202,21 @@
         """Start the tasks that go on until the end."""
         self._directory.run()
         self._mesh.run()
-        self._ownership.run(self._mesh, self._background)
-        reports.Reports(
+        self._ownership.start(self._mesh, self._background)
+        reports.ReportPoller(
             self._directory,
             self._mesh,
             self._ownership.owner,
             self._sender,
             self._rate_limits.limiter,
             self._notices,
-        ).run(self._background)
+        ).start(self._background)
         self._orders.run()
         self._background.keep('members', self._look_around)
 
     async def _listen(self) -> None:
         settings = self._settings
-        self._front = fronts.Front(
+        self._front = frontend.HttpFrontend(
             means_module.Means(
                 directory=self._directory,
                 sender=self._sender,
@@ -249,8 +249,8 @@
             self._grants.set_members(self._mesh.size)
             known = self._directory.registry.known
             self._balancer.forget(known)
-            self._exchange.forget(known)
-            self._rate_limits.forget(known)
+            self._exchange.prune(known)
+            self._rate_limits.prune(known)
             self._notices.forget(known)
             await asyncio.sleep(_MEMBERS_EVERY)
 
@@ -288,7 +288,7 @@
         """Finish what is in flight, then close."""
         began = clock.now()
         last = began + self._settings.bounds.grace - _LAST_SECOND
-        self._front.leave(began + _LOOK_AWAY, last)
+        self._front.drain(began + _LOOK_AWAY, last)
         self._mesh.leaving = True
         self._ownership.owner.decline_all()
         _log.info('Stopping.', in_flight=self._front.in_flight)
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -52,7 +52,7 @@
 
     upstream: ids.UpstreamId
     whole: means_module.Whole | None
-    lost: senders.Lost | None
+    lost: senders.FailedSend | None
 
 
 class Course:
@@ -98,7 +98,7 @@
             done = self._judge(attempt)
             if done is not None:
                 return done
-            if attempt.lost is not None and attempt.lost.is_cut:
+            if attempt.lost is not None and attempt.lost.is_disconnect:
                 await self._means.guard.cut(self._call, upstream)
             if self._means.guard.holds(self._call):
                 return self._means.guard.failure(self._call)
@@ -130,7 +130,7 @@
             )
             if chosen is None:
                 break
-            wait = await self._means.rate_limits.permit(chosen.id)
+            wait = await self._means.rate_limits.acquire(chosen.id)
             if not wait and self._takes_work(chosen.id):
                 return chosen
             self._limited[chosen.id] = wait
@@ -159,7 +159,7 @@
         again = self._route.max_attempts > self._sends.ran + 1
         share = _FIRST_SHARE if again and not once else 1.0
         headers = wire.outgoing(
-            self._call, calls.Directions(upstream.id, left)
+            self._call, calls.ForwardingOptions(upstream.id, left)
         )
         self._means.balancer.begin(upstream.id)
         self._sends.begin()
@@ -172,10 +172,10 @@
                 headers,
                 wire.answer_head,
                 timeout=left * share,
-                connect=min(_CONNECT, left),
-                keep=not once,
+                connect_timeout=min(_CONNECT, left),
+                use_pool=not once,
             )
-            if isinstance(answer, senders.Lost):
+            if isinstance(answer, senders.FailedSend):
                 attempt.lost = answer
             else:
                 await self._read(answer, attempt)
@@ -198,19 +198,19 @@
             seconds=seconds,
         )
 
-    async def _read(self, answer: senders.Answer, attempt: _Attempt) -> None:
+    async def _read(self, answer: senders.Response, attempt: _Attempt) -> None:
         body = await answer.body()
-        whole = body is not None and not answer.head.encoded
-        if answer.head.status < 300 and not answer.head.signed:
+        whole = body is not None and not answer.head.is_encoded
+        if answer.head.status < 300 and not answer.head.is_signed:
             whole = False
         if whole and body is not None:
             attempt.whole = means_module.Whole(answer.head, body)
         else:
-            attempt.lost = senders.Lost(
+            attempt.lost = senders.FailedSend(
                 fate.Fate.UNCERTAIN,
                 'answer not whole',
                 head=answer.head,
-                is_cut=body is None,
+                is_disconnect=body is None,
             )
 
     def _note(self, attempt: _Attempt, seconds: float) -> None:
@@ -240,8 +240,8 @@
     def _learn(
         self,
         attempt: _Attempt,
-        head: calls.AnswerHead | None,
-        lost: senders.Lost | None,
+        head: calls.ResponseHead | None,
+        lost: senders.FailedSend | None,
     ) -> None:
         now = clock.now()
         if head is not None and head.load is not None:
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -125,7 +125,7 @@
         if self._means.notices.pause_left(engine.id):
             return Again(engine.id, 'prefill engine wants a pause')
         answer = await self._send(engine, last_event, end_by)
-        if isinstance(answer, senders.Lost):
+        if isinstance(answer, senders.FailedSend):
             return self._lost(engine, answer)
         self._count += 1
         body = await answer.body()
@@ -136,12 +136,14 @@
         if isinstance(done, errors.Failure):
             return Again(engine.id, done.detail, (engine.id,))
         self._keep(engine, done.handle)
-        self._means.ownership.prefilled(
+        self._means.ownership.report_prefilled(
             stream, self._service, self._tokens, clock.now() - now
         )
         return None
 
-    def _lost(self, engine: upstreams.Upstream, lost: senders.Lost) -> Again:
+    def _lost(
+        self, engine: upstreams.Upstream, lost: senders.FailedSend
+    ) -> Again:
         unreachable = lost.fate is fate.Fate.NOT_SENT
         self._count += not unreachable
         _log.warning(
@@ -157,18 +159,18 @@
             lost.detail,
             (engine.id,),
             unreachable=unreachable,
-            cut=engine if lost.is_cut else None,
+            cut=engine if lost.is_disconnect else None,
         )
 
     async def _send(
         self, engine: upstreams.Upstream, last_event: str, end_by: float
-    ) -> senders.Answer | senders.Lost:
+    ) -> senders.Response | senders.FailedSend:
         left = means_module.left(end_by)
-        directions = calls.Directions(
+        directions = calls.ForwardingOptions(
             engine.id,
             left,
             prefill_only=True,
-            last_event=last_event,
+            last_event_id=last_event,
             priority=self._call.priority,
         )
         return await self._means.sender.send(
@@ -177,8 +179,8 @@
             wire.outgoing(self._call, directions),
             wire.answer_head,
             timeout=min(left, _LIMIT),
-            connect=_CONNECT,
-            keep=True,
+            connect_timeout=_CONNECT,
+            use_pool=True,
         )
 
     def _keep(self, engine: upstreams.Upstream, handle: str) -> None:
@@ -196,7 +198,7 @@
         address, _, handle = source.partition('/')
 
         async def free() -> None:
-            reply = await self._means.sender.small(
+            reply = await self._means.sender.request_small(
                 'DELETE',
                 address,
                 engines.handle_path(handle),
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -37,7 +37,7 @@
 _log = logs.Log('reports')
 
 
-class Reports:
+class ReportPoller:
     """Keeps the owner's picture of the engines true.
 
     Args:
@@ -65,7 +65,7 @@
         self._sender = sender
         self._limiter = limiter
 
-    def run(self, background: tasks.Tasks) -> None:
+    def start(self, background: tasks.Tasks) -> None:
         """Start to read."""
         background.keep('reports', self._forever)
 
@@ -76,7 +76,7 @@
                 continue
             for service, dispatcher in list(self._owner.dispatchers.items()):
                 await self._read_service(service, dispatcher)
-            self._owner.replan()
+            self._owner.refresh_engines()
 
     async def _read_service(
         self, service: ids.ServiceName, dispatcher: dispatch.Dispatcher
@@ -91,7 +91,7 @@
         ]
         replies = await asyncio.gather(
             *(
-                self._sender.small(
+                self._sender.request_small(
                     'GET', engine.address, engines.REPORT, _REPORT_TIMEOUT
                 )
                 for engine in found
--- a/galenahatch/gateway/sender.py
+++ b/galenahatch/gateway/sender.py
@@ -44,10 +44,10 @@
 from galenahatch import timeouts
 from galenahatch.upstream import http
 
-KEEP_ALIVE: typing.Final = 4.0
+KEEP_ALIVE_S: typing.Final = 4.0
 """Seconds for which an idle connection is kept. Upstreams close theirs
 later; an early close costs a handshake, a late one a failed send."""
-MOST_ANSWER: typing.Final = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES: typing.Final = 16 * 1024 * 1024
 """Bytes of a plain answer that are held in memory."""
 _UNACKNOWLEDGED_MS: typing.Final = 2000
 """Milliseconds after which a connection whose peer acknowledges nothing is
@@ -68,11 +68,13 @@
 """Headers that the client library would add."""
 
 Headers = multidict.CIMultiDict[str]
-HeadListener = typing.Callable[[ids.UpstreamId, float, calls.AnswerHead], None]
+ResponseHeadListener = typing.Callable[
+    [ids.UpstreamId, float, calls.ResponseHead], None
+]
 
 
 @dataclasses.dataclass(frozen=True)
-class Lost:
+class FailedSend:
     """A send without an answer that can be used.
 
     Attributes:
@@ -83,8 +85,8 @@
 
     fate: fate.Fate
     detail: str
-    head: calls.AnswerHead | None = None
-    is_cut: bool = False
+    head: calls.ResponseHead | None = None
+    is_disconnect: bool = False
 
 
 class _Protocol(client_proto.ResponseHandler):
@@ -126,12 +128,12 @@
         if keep:
             super().__init__(
                 limit=0,
-                keepalive_timeout=KEEP_ALIVE,
-                socket_factory=watched_socket,
+                keepalive_timeout=KEEP_ALIVE_S,
+                socket_factory=create_socket,
             )
         else:
             super().__init__(
-                limit=0, force_close=True, socket_factory=watched_socket
+                limit=0, force_close=True, socket_factory=create_socket
             )
         loop = self._loop
         self._factory = lambda: _Protocol(loop=loop)  # type: ignore
@@ -153,7 +155,7 @@
         return await super()._get(key, traces)
 
 
-def watched_socket(address: typing.Any) -> socket.socket:
+def create_socket(address: typing.Any) -> socket.socket:
     """Return a socket that notices a peer without power."""
     family, kind, protocol, _, _ = address
     made = socket.socket(family, kind, protocol)
@@ -164,7 +166,7 @@
     return made
 
 
-class Answer:
+class Response:
     """An answer whose head has come.
 
     Args:
@@ -177,7 +179,7 @@
     def __init__(
         self,
         response: aiohttp.ClientResponse,
-        head: calls.AnswerHead,
+        head: calls.ResponseHead,
         upstream: ids.UpstreamId,
         waits: inflight.Waits,
     ) -> None:
@@ -199,7 +201,7 @@
         try:
             async for chunk in self._response.content.iter_any():
                 data += chunk
-                if len(data) > MOST_ANSWER:
+                if len(data) > MAX_RESPONSE_BYTES:
                     self.close()
                     return None
         except http.ERRORS:
@@ -210,7 +212,7 @@
             raise
         return bytes(data)
 
-    async def read(self, timeout: float) -> bytes | Lost:
+    async def read(self, timeout: float) -> bytes | FailedSend:
         """Return the next bytes, or none at the end.
 
         Args:
@@ -220,10 +222,10 @@
             async with self._waits.limit(self._upstream, timeout):
                 return await self._response.content.readany()
         except asyncio.TimeoutError:
-            return Lost(fate.Fate.UNCERTAIN, 'silent')
+            return FailedSend(fate.Fate.UNCERTAIN, 'silent')
         except http.ERRORS as error:
             detail = f'{type(error).__name__} {error}'
-            return Lost(fate.Fate.UNCERTAIN, detail, is_cut=True)
+            return FailedSend(fate.Fate.UNCERTAIN, detail, is_disconnect=True)
 
     def close(self) -> None:
         """Close the connection: the upstream stops its work."""
@@ -240,7 +242,9 @@
 
     def __init__(self) -> None:
         self.waits = inflight.Waits()
-        self.on_head: HeadListener = lambda upstream, sent_at, head: None
+        self.on_response_head: ResponseHeadListener = (
+            lambda upstream, sent_at, head: None
+        )
         self._kept = _session(keep=True)
         self._fresh = _session(keep=False)
 
@@ -254,65 +258,65 @@
         upstream: upstreams.Upstream,
         request: calls.Call,
         headers: Headers,
-        decode: typing.Callable[[int, typing.Any], calls.AnswerHead],
+        decode: typing.Callable[[int, typing.Any], calls.ResponseHead],
         timeout: float,
-        connect: float,
-        keep: bool,
-    ) -> Answer | Lost:
-        """Send a request; return the head of its answer.
+        connect_timeout: float,
+        use_pool: bool,
+    ) -> Response | FailedSend:
+        """Send a request and return the head of its response.
 
         Args:
-            upstream: that it goes to.
-            request: of the caller.
-            headers: to send.
-            decode: reads the head of an answer.
-            timeout: seconds until the head must have come.
-            connect: seconds for a connection.
-            keep: use a kept connection, and keep it.
+            upstream: Destination of the request.
+            decode: Parses the status and the raw headers of the response.
+            timeout: Seconds until the head must have arrived.
+            connect_timeout: Seconds for establishing a connection.
+            use_pool: Whether to use a pooled connection and keep it open.
         """
-        limits = aiohttp.ClientTimeout(total=None, sock_connect=connect)
+        limit = aiohttp.ClientTimeout(total=None, sock_connect=connect_timeout)
         sent_at = clock.now()
         try:
             async with self.waits.limit(upstream.id, timeout):
-                response = await self._session(keep).request(
+                response = await self._session(use_pool).request(
                     request.method,
                     _url(upstream.address, request.target),
                     data=request.body or None,
                     headers=headers,
                     skip_auto_headers=_SKIPPED,
                     allow_redirects=False,
-                    timeout=limits,
+                    timeout=limit,
                 )
         except http.NOT_CONNECTED as error:
-            return Lost(fate.Fate.NOT_SENT, repr(error))
+            return FailedSend(fate.Fate.NOT_SENT, repr(error))
         except asyncio.TimeoutError:
-            return Lost(fate.Fate.UNCERTAIN, 'no answer')
+            return FailedSend(fate.Fate.UNCERTAIN, 'no answer')
         except http.ERRORS as error:
-            return Lost(fate.Fate.UNCERTAIN, repr(error), is_cut=True)
+            return FailedSend(
+                fate.Fate.UNCERTAIN, repr(error), is_disconnect=True
+            )
         head = decode(response.status, response.raw_headers)
-        answer = Answer(response, head, upstream.id, self.waits)
+        answer = Response(response, head, upstream.id, self.waits)
         if _is_of(head, request):
-            self.on_head(upstream.id, sent_at, head)
+            self.on_response_head(upstream.id, sent_at, head)
         return await self._checked(request, answer)
 
     def _session(self, keep: bool) -> aiohttp.ClientSession:
         return self._kept if keep else self._fresh
 
     async def _checked(
-        self, request: calls.Call, answer: Answer
-    ) -> Answer | Lost:
+        self, request: calls.Call, answer: Response
+    ) -> Response | FailedSend:
         head = answer.head
-        if head.request and head.request != request.id:
+        if head.request_id and head.request_id != request.id:
             answer.close()
-            detail = f'answer to {head.request}'
-            return Lost(fate.Fate.UNCERTAIN, detail)
+            detail = f'answer to {head.request_id}'
+            return FailedSend(fate.Fate.UNCERTAIN, detail)
         if head.not_executed and head.status >= 400:
             await answer.body()
             detail = f'refused with {head.status}'
-            return Lost(fate.Fate.REFUSED, detail, head=head)
+            return FailedSend(fate.Fate.REFUSED, detail, head=head)
         return answer
 
-    async def refuses(self, upstream: upstreams.Upstream) -> bool:
+    async def refuses_connections(self, upstream: upstreams.Upstream) -> bool:
         """Return whether nobody listens at the address of an upstream.
 
         Where no answer comes at all, nothing is known of it.
@@ -329,7 +333,7 @@
         writer.close()
         return False
 
-    async def small(
+    async def request_small(
         self,
         method: str,
         address: str,
@@ -359,13 +363,13 @@
             return errors.Failure(errors.UPSTREAM_UNREACHABLE, repr(error))
 
 
-def _is_of(head: calls.AnswerHead, request: calls.Call) -> bool:
+def _is_of(head: calls.ResponseHead, request: calls.Call) -> bool:
     """Return whether an answer tells of the upstream that was meant.
 
     A late answer to another request tells of an earlier time, and one that
     refuses the wrong instance is of another upstream.
     """
-    is_late = bool(head.request) and head.request != request.id
+    is_late = bool(head.request_id) and head.request_id != request.id
     return not is_late and head.status != _WRONG_INSTANCE
 
 
