--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -130,7 +130,7 @@
     cell = _cell(engines)
     now = 1000.0
     number = 0
-    while cell.waiting < queued:
+    while cell.queue_length < queued:
         cell.submit(_request(number), 1.0, now)
         number += 1
     rounds = 300
@@ -145,7 +145,7 @@
         for decision in cell.decide(now):
             decided += 1
             stream = decision.answer.stream
-            cell.progress(
+            cell.record_progress(
                 messages.Progress(stream, states.Stage.TRANSFER), now
             )
             cell.release(messages.Release(stream, None, 100, 0.03), now)
@@ -186,7 +186,7 @@
     report = messages.HeldReport(
         ids.MemberId('entry/10.0.0.1:8080'), 1, _held(count)
     )
-    cell.rebuild(report, 0.0)
+    cell.reconcile(report, 0.0)
     return cell
 
 
@@ -206,8 +206,8 @@
     )
 
 
-def _watched(count: int) -> watch.Watch:
-    kept = watch.Watch()
+def _watched(count: int) -> watch.StreamWatch:
+    kept = watch.StreamWatch()
     kept.add(ids.MemberId('entry/10.0.0.1:8080'), 1, _held(count))
     return kept
 
@@ -279,7 +279,7 @@
         began = time.process_time()
         sites = config.load(bundle)
         assert sites is not None
-        cells.plans(sites, ids.RegionName('r0'))
+        cells.cell_configs(sites, ids.RegionName('r0'))
         return time.process_time() - began
 
     samples = [[taken(n) for _ in range(_REPEATS)] for n in sizes]
@@ -407,7 +407,7 @@
         def make(_: int, bundle: schema.Bundle = bundle) -> typing.Any:
             sites = config.load(bundle)
             assert sites is not None
-            return sites, cells.plans(sites, ids.RegionName('r0'))
+            return sites, cells.cell_configs(sites, ids.RegionName('r0'))
 
         samples.append([float(_bytes_of(make, 0))])
     return fit(sizes, samples, 'B')
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -255,13 +255,13 @@
             0,
             seconds,
         )
-        self._cell.progress(news, self._now())
+        self._cell.record_progress(news, self._now())
         self._wake.set()
 
     def decoding(self, stream: str) -> None:
         """Tell the cell."""
         news = messages.Progress(ids.StreamId(stream), states.Stage.DECODE)
-        self._cell.progress(news, self._now())
+        self._cell.record_progress(news, self._now())
 
     def ended(self, stream: str, tokens: int, pace: float) -> None:
         """Tell the cell."""
@@ -316,7 +316,7 @@
         while True:
             for decision in self._cell.decide(self._now()):
                 self._answer(decision)
-            look = self._cell.next_look(self._now())
+            look = self._cell.next_decision_at(self._now())
             self._wake.clear()
             wait = 0.25 if look is None else max(_LOOK, look - self._now())
             try:
@@ -332,7 +332,9 @@
             if not self._uses.health:
                 continue
             for name, (_, pace) in self._fleet.reports().items():
-                self._cell.paced(ids.EngineName(name), pace, self._now())
+                self._cell.record_token_interval(
+                    ids.EngineName(name), pace, self._now()
+                )
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
--- a/bench/restores.py
+++ b/bench/restores.py
@@ -173,7 +173,7 @@
     def __init__(self, way: Way) -> None:
         self._way = way
         self._era = 0
-        self._feed = versions.NEVER
+        self._feed = versions.OLDEST
         self._forget()
         self.asks_at = 0.0
 
@@ -191,7 +191,7 @@
         era = 0 if self._way is Way.NUMBERS else store.era
         self._hear(era)
         version = versions.Version(era, store.ver)
-        is_gone = not versions.NEVER < self._feed <= version
+        is_gone = not versions.OLDEST < self._feed <= version
         if is_gone or self._feed.era != era:
             self.entries.take_all(store.listed(), version)
         elif rows := store.changed(self._feed.number):
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -186,7 +186,7 @@
         kind=kind,
         prompt=prompt,
         tokens=model.token_count(prompt),
-        blocks=cache.blocks_of(prompt),
+        blocks=cache.hash_blocks(prompt),
         caller=f'{kind.name}-{_caller(source, kind)}',
         entry=source.randrange(entries),
     )
--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -107,7 +107,7 @@
         means: Means,
         asked: inbound.ModelRequest,
         sink: answers.Sink,
-        answer: assembly.Assembly,
+        answer: assembly.AnswerAssembler,
         stream: ids.StreamId,
         engines: Engines,
         arrived_at: float,
@@ -204,7 +204,7 @@
         stream: engine_client.Stream | errors.Failure,
     ) -> errors.Failure | None:
         """Pass tokens on until the end marker, resuming when cut."""
-        self._assembly.expect(self._stream)
+        self._assembly.expect_stream(self._stream)
         self._first_offset = self._assembly.offset
         resumes = 0
         while True:
@@ -263,11 +263,11 @@
         """Take events; return the first verdict that ends a reading."""
         for event in events:
             if event.finish:
-                verdict = self._assembly.end(
+                verdict = self._assembly.add_end(
                     event.stream, event.offset, event.finish
                 )
             else:
-                verdict = self._assembly.token(
+                verdict = self._assembly.add_token(
                     event.stream, event.offset, event.text
                 )
             if verdict is assembly.Verdict.FOREIGN:
--- a/galenahatch/changes.py
+++ b/galenahatch/changes.py
@@ -98,7 +98,7 @@
             accepted first; CHANGE_UNKNOWN if the table can't tell.
         """
         body = revision.encode(bundle)
-        digest = revision.digest_of(body)
+        digest = revision.bundle_digest(body)
         failure = await self._objects.put(revision.body_key(digest), body)
         if failure is not None:
             return failure
--- a/galenahatch/claiming.py
+++ b/galenahatch/claiming.py
@@ -88,7 +88,7 @@
         self._objects = stored
         self._owner = owner
         self._timeout = timeout
-        self._holdings = claim.Holdings()
+        self._holdings = claim.ClaimTokens()
         self._replies: dict[ids.ClaimToken, asyncio.Future[Reply]] = {}
         self._queries: dict[
             ids.ClaimToken, asyncio.Future[messages.ClaimAnswer]
@@ -98,14 +98,14 @@
     @property
     def open(self) -> int:
         """Claims whose fate is not in the table yet."""
-        return self._holdings.unfinished() + len(self._voiding)
+        return self._holdings.count_unsettled() + len(self._voiding)
 
     async def acquire(
         self, key: ids.ClaimKey, fingerprint: str
     ) -> Claimed | claim.Answer | errors.Failure:
         """Claim a key for one run."""
         token = ids.ClaimToken(clock.token())
-        self._holdings.begin(token)
+        self._holdings.add_pending(token)
         request = messages.ClaimRequest(
             key,
             token,
@@ -127,7 +127,7 @@
             if reply.status is states.ClaimStatus.MINE:
                 return claimed
             if reply.status is states.ClaimStatus.OTHERS:
-                self._holdings.settle(token)
+                self._holdings.forget(token)
                 return await self._taken(reply, fingerprint)
         self.abandon(claimed)
         # Only a table that was read vouches for a key that never ran.
@@ -139,7 +139,7 @@
 
     def dispatch(self, claimed: Claimed) -> bool:
         """Return whether the work may be sent now, once."""
-        return self._holdings.dispatch(claimed.token)
+        return self._holdings.try_dispatch(claimed.token)
 
     def abandon(self, claimed: Claimed, not_started: bool = False) -> None:
         """Give a claim up and remove it in the background.
@@ -150,7 +150,7 @@
                 it was dispatched.
         """
         if not_started:
-            self._holdings.withdraw(claimed.token)
+            self._holdings.abandon_dispatched(claimed.token)
         elif not self._holdings.abandon(claimed.token):
             return
         self._void(claimed)
@@ -218,13 +218,13 @@
         """Store an answer until the table has it."""
         object_key = ''
         attempt = 0
-        if len(answer.body) > claim.INLINE_BYTES:
+        if len(answer.body) > claim.MAX_INLINE_ANSWER_BYTES:
             object_key = f'answers/{claimed.key}/{claimed.token}'
             body = msgspec.msgpack.encode(answer)
             while await self._objects.put(object_key, body) is not None:
                 attempt += 1
                 await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        done = claim.finished(claimed.record, answer, object_key)
+        done = claim.finished_record(claimed.record, answer, object_key)
         message = messages.ClaimDone(
             claimed.key,
             claimed.token,
@@ -237,7 +237,7 @@
                 break
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        self._holdings.settle(claimed.token)
+        self._holdings.forget(claimed.token)
 
     def _void(self, claimed: Claimed) -> None:
         if claimed.token not in self._voiding:
@@ -266,7 +266,7 @@
         record = claim.decode(reply.record)
         if isinstance(record, errors.Failure):
             return record
-        verdict = claim.judge(record, reply.token, fingerprint)
+        verdict = claim.classify_arrival(record, reply.token, fingerprint)
         if verdict is claim.Arrival.REUSED:
             return errors.Failure(errors.KEY_REUSED)
         if verdict is claim.Arrival.REPLAY:
@@ -334,7 +334,7 @@
         answer = self._holdings.answer(record.token)
         if answer is not None:
             return answer
-        hold = self._holdings.hold(record.token)
+        hold = self._holdings.state(record.token)
         if hold is claim.Hold.ABANDONED:
             self._void(Claimed(key, record))
             return states.HolderState.ABANDONED
@@ -344,7 +344,7 @@
 
     def _answer_query(self, query: messages.ClaimQuery) -> None:
         """Answer another entry's question about a token of this one."""
-        hold = self._holdings.hold(query.token)
+        hold = self._holdings.state(query.token)
         known = {
             claim.Hold.PENDING: states.HolderState.RUNNING,
             claim.Hold.RUNNING: states.HolderState.RUNNING,
--- a/galenahatch/claims.py
+++ b/galenahatch/claims.py
@@ -107,7 +107,7 @@
         for _ in range(_TRIES):
             if not pending:
                 return
-            change = claimwrites.transaction_of(
+            change = claimwrites.build_transaction(
                 [order.operation for order in pending.values()]
             )
             metrics.claim_groups.add(1)
@@ -119,7 +119,9 @@
                 return
             else:
                 for order in pending.values():
-                    self._answer(order, claimwrites.written(order.operation))
+                    self._answer(
+                        order, claimwrites.committed_reply(order.operation)
+                    )
                 return
         await self._read_back(pending)
 
@@ -129,22 +131,26 @@
         current: collections.abc.Mapping[str, bytes | None],
     ) -> None:
         for name, value in current.items():
-            order = pending.pop(claimwrites.key_in(name), None)
+            order = pending.pop(claimwrites.claim_key_from(name), None)
             if order is not None:
                 self._answer(
-                    order, claimwrites.conflicted(order.operation, value)
+                    order, claimwrites.conflict_reply(order.operation, value)
                 )
 
     async def _read_back(self, pending: dict[ids.ClaimKey, Order]) -> None:
         """Answer from what the table holds, if it can be read."""
-        names = [claimwrites.name_of(key) for key in pending]
+        names = [claimwrites.table_key(key) for key in pending]
         values = await self._table.read(names)
         for key, order in pending.items():
             if isinstance(values, errors.Failure):
-                self._answer(order, claimwrites.unconfirmed(order.operation))
+                self._answer(
+                    order, claimwrites.unconfirmed_reply(order.operation)
+                )
                 continue
-            value = values.get(claimwrites.name_of(key))
-            self._answer(order, claimwrites.found(order.operation, value))
+            value = values.get(claimwrites.table_key(key))
+            self._answer(
+                order, claimwrites.readback_reply(order.operation, value)
+            )
 
     def _answer(self, order: Order, reply: messages.AnyMessage) -> None:
         self._open -= 1
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -106,7 +106,7 @@
             return
         self._stored = values.get(LEASE_KEY)
         self._lease.observe(_decode(self._stored), clock.now())
-        proposal = self._lease.proposal(clock.now())
+        proposal = self._lease.propose(clock.now())
         if proposal is None:
             return
         began = clock.now()
@@ -114,7 +114,7 @@
         done = await self.table.commit(_swap(self._stored, data))
         if isinstance(done, transaction.Committed):
             before = self._lease.fencing
-            self._lease.accepted(proposal, began, clock.now())
+            self._lease.record_accepted(proposal, began, clock.now())
             self._stored = data
             if before != proposal.fencing:
                 _log.info('Lease taken.', fencing=proposal.fencing)
@@ -131,7 +131,7 @@
         """
         settings = self._declared()
         now = clock.now()
-        if settings is None or not self._lease.may_order(now):
+        if settings is None or not self._lease.may_send_orders(now):
             return
         if now < self._read_at and self._seen == self.config.revision:
             return
@@ -139,14 +139,16 @@
         pause = len(settings.engines) / READS_A_SECOND
         self._read_at = now + max(_LOOK, pause)
         observed = await self._observe(settings.engines)
-        wanted = orders.desired(settings)
+        wanted = orders.desired_orders(settings)
         engines = {engine.name: engine for engine in settings.engines}
-        for send in orders.plan(wanted, observed):
-            if not self._lease.may_order(clock.now()):
+        for send in orders.plan_orders(wanted, observed):
+            if not self._lease.may_send_orders(clock.now()):
                 return
             await self._order(engines[send.engine], send)
 
-    async def _order(self, engine: schema.Engine, send: orders.Send) -> None:
+    async def _order(
+        self, engine: schema.Engine, send: orders.PlannedOrder
+    ) -> None:
         failure = await engine_client.order(
             self.engines,
             cancelling.url_of(engine),
--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -86,7 +86,7 @@
         wait = self._until_room(job, self._returns.due(now), now)
         return wait > 0 and now + wait > job.start_by
 
-    def keep_or_refuse(
+    def queue_or_refuse(
         self, job: Job, now: float
     ) -> generations.Refused | None:
         """Decide on a request that could not be placed so far."""
@@ -96,11 +96,11 @@
             return None
         wait = _CAUTION * self._forecast.wait(job, 1, now)
         if now + wait > waiting.limit(job):
-            return self.keep_late(job, wait, now)
+            return self.queue_late(job, wait, now)
         self._queue.keep(job)
         return None
 
-    def keep_late(
+    def queue_late(
         self, job: Job, wait: float, now: float
     ) -> generations.Refused | None:
         """Keep a request that can't start in time, or give it up.
--- a/galenahatch/core/assembly.py
+++ b/galenahatch/core/assembly.py
@@ -23,7 +23,7 @@
 
 from galenahatch import ids
 
-MAX_FOREIGN: typing.Final = 1000
+MAX_FOREIGN_EVENTS: typing.Final = 1000
 
 
 class Verdict(enum.Enum):
@@ -37,7 +37,7 @@
     BROKEN = 'broken'
 
 
-class Assembly:
+class AnswerAssembler:
     """The answer so far.
 
     Attributes:
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.parts: list[str] = []
-        self.finish = ''
+        self.finish_reason = ''
         self._stream: ids.StreamId | None = None
         self._foreign = 0
 
@@ -62,34 +62,34 @@
         """Every token so far."""
         return ''.join(self.parts)
 
-    def expect(self, stream: ids.StreamId) -> None:
+    def expect_stream(self, stream: ids.StreamId) -> None:
         """Take events of this stream only from now on."""
         self._stream = stream
 
-    def token(self, stream: str, offset: int, text: str) -> Verdict:
+    def add_token(self, stream: str, offset: int, text: str) -> Verdict:
         """Take a token event."""
         verdict = self._place(stream, offset)
         if verdict is Verdict.TOKEN:
             self.parts.append(text)
         return verdict
 
-    def end(self, stream: str, offset: int, finish: str) -> Verdict:
+    def add_end(self, stream: str, offset: int, finish: str) -> Verdict:
         """Take an end marker; the offset is the number of tokens."""
         verdict = self._place(stream, offset)
         if verdict is Verdict.DUPLICATE:
             return Verdict.BROKEN
         if verdict is not Verdict.TOKEN:
             return verdict
-        self.finish = finish
+        self.finish_reason = finish
         return Verdict.END
 
     def _place(self, stream: str, offset: int) -> Verdict:
         if stream != self._stream:
             self._foreign += 1
-            if self._foreign > MAX_FOREIGN:
+            if self._foreign > MAX_FOREIGN_EVENTS:
                 return Verdict.BROKEN
             return Verdict.FOREIGN
-        if self.finish or offset < 0:
+        if self.finish_reason or offset < 0:
             return Verdict.BROKEN
         if offset < self.offset:
             return Verdict.DUPLICATE
--- a/galenahatch/core/cache.py
+++ b/galenahatch/core/cache.py
@@ -33,7 +33,7 @@
 _MAX_PREFIXES: typing.Final = 50_000
 
 
-def blocks_of(prompt: str) -> tuple[int, ...]:
+def hash_blocks(prompt: str) -> tuple[int, ...]:
     """Return the hashes of a prompt's whole blocks, first to last."""
     data = prompt.encode()
     digest = xxhash.xxh3_64()
@@ -61,7 +61,7 @@
         self._next_event: dict[ids.EngineName, tuple[int, int]] = {}
         self._trusted_from: dict[ids.EngineName, float] = {}
 
-    def stored(
+    def add_prefixes(
         self,
         engine: ids.EngineName,
         blocks: collections.abc.Iterable[int],
@@ -75,7 +75,7 @@
         while len(self._prefixes) > _MAX_PREFIXES:
             self._prefixes.popitem(last=False)
 
-    def evicted(
+    def remove_prefixes(
         self, engine: ids.EngineName, blocks: collections.abc.Iterable[int]
     ) -> None:
         """Note that an engine no longer has these prefixes."""
@@ -87,7 +87,7 @@
             if not engines:
                 del self._prefixes[block]
 
-    def numbered(
+    def accept_event(
         self,
         engine: ids.EngineName,
         incarnation: int,
--- a/galenahatch/core/cell.py
+++ b/galenahatch/core/cell.py
@@ -42,12 +42,12 @@
 from galenahatch import schema
 from galenahatch import states
 
-LOOKAHEAD: typing.Final = 0.03
+LOOKAHEAD_S: typing.Final = 0.03
 """Longest wait at a prefill engine; the rest waits in the cell."""
-CACHE_AGE: typing.Final = 60.0
-LONGEST_QUEUE: typing.Final = 5000
+CACHE_MAX_AGE_S: typing.Final = 60.0
+MAX_QUEUE_LENGTH: typing.Final = 5000
 _PROMISED_SHARE: typing.Final = 100.0
-LEAST_RETRY_AFTER: typing.Final = 0.1
+MIN_RETRY_AFTER_S: typing.Final = 0.1
 _RECHECK: typing.Final = 0.05
 _SOONEST_LOOK: typing.Final = 0.001
 
@@ -66,10 +66,10 @@
         self._service = service
         self._random = random_source
         self._pools = pools.Pools()
-        self._waits = waits.Waits(self._pools)
+        self._waits = waits.WaitEstimator(self._pools)
         self._headroom = headroom.Headroom()
-        self._promises = promises.Promises()
-        self._index = cache.PrefixIndex(CACHE_AGE)
+        self._promises = promises.Tickets()
+        self._index = cache.PrefixIndex(CACHE_MAX_AGE_S)
         self._allowed: dict[ids.SiteName, frozenset[ids.EngineName]] = {}
         self._queue: fairness.FairQueue[jobs.Job] = fairness.FairQueue()
         self._start_by: list[tuple[float, ids.StreamId]] = []
@@ -84,25 +84,25 @@
         return self._service
 
     @property
-    def index(self) -> cache.PrefixIndex:
+    def prefix_index(self) -> cache.PrefixIndex:
         """Which engine has which prefix."""
         return self._index
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Requests in the queue."""
         return len(self._queue)
 
-    def waiting_of(self, caller: ids.CallerName) -> int:
+    def queue_length_of(self, caller: ids.CallerName) -> int:
         """Return how many requests of a caller wait."""
-        return self._queue.waiting(caller)
+        return self._queue.count_waiting(caller)
 
     @property
-    def held(
+    def active_reservations(
         self,
     ) -> collections.abc.Mapping[ids.StreamId, reservations.Reservation]:
         """Reservations by stream."""
-        return self._reservations.held
+        return self._reservations.by_stream
 
     @property
     def prefills(self) -> tuple[engines.PrefillEngine, ...]:
@@ -133,30 +133,30 @@
         """Take which engines leave, from all sources together."""
         self._pools.set_leaving(leaving)
 
-    def unprobed(self) -> None:
+    def expect_no_load_reports(self) -> None:
         """Expect no load reports: this owner no longer asks for them."""
-        self._pools.unprobed()
+        self._pools.expect_no_load_reports()
 
-    def serves_with(self, engine: ids.EngineName) -> bool:
+    def has_engine(self, engine: ids.EngineName) -> bool:
         """Return whether an engine belongs to the cell."""
         return self._pools.engine(engine) is not None
 
-    def paced(
+    def record_token_interval(
         self, engine: ids.EngineName, seconds: float, now: float
     ) -> None:
         """Take a time between tokens from an engine's load report."""
         found = self._pools.engine(engine)
         if found is not None:
-            found.health.heard(now)
+            found.health.record_report(now)
         decode = self._pools.decode(engine)
         if decode is not None and seconds > 0:
             self._note_pace(decode, seconds)
 
-    def failed(self, engine: ids.EngineName, now: float) -> None:
+    def record_failure(self, engine: ids.EngineName, now: float) -> None:
         """Note that an engine failed an attempt."""
         found = self._pools.engine(engine)
         if found is not None:
-            found.health.failed(now)
+            found.health.record_failure(now)
 
     # The life of a request.
 
@@ -172,7 +172,7 @@
         """
         job = self._job(request, share, now)
         if job.urgency is states.Urgency.URGENT:
-            self._headroom.note(job.cost, job.start_by - now, now)
+            self._headroom.record_urgent(job.cost, job.start_by - now, now)
         reason = self._refusal(job, now)
         if reason is not None:
             return self._give_up(job, reason, now)
@@ -180,7 +180,7 @@
         heapq.heappush(self._start_by, (job.start_by, job.stream))
         return None
 
-    def withdraw(self, stream: ids.StreamId) -> None:
+    def cancel(self, stream: ids.StreamId) -> None:
         """Remove a request that waits: its caller is gone."""
         self._queue.remove(stream)
 
@@ -195,34 +195,34 @@
     def _decide_one(self, now: float) -> jobs.Decision | None:
         """Decide on the first head that need not wait."""
         self._look_at = now + _RECHECK
-        idle_at = self._pools.idle_at(now)
-        if idle_at > now + LOOKAHEAD:
+        idle_at = self._pools.first_idle_at(now)
+        if idle_at > now + LOOKAHEAD_S:
             # No request could start now, whichever it is.
-            self._look_at = min(self._look_at, idle_at - LOOKAHEAD)
+            self._look_at = min(self._look_at, idle_at - LOOKAHEAD_S)
             return None
         for job in self._queue.heads():
             choice = self._choose(job, now)
             if choice.pair is not None:
                 self._queue.serve(job)
                 return self._place(job, choice, now)
-            if choice.wait_until is None:
+            if choice.retry_at is None:
                 self._queue.serve(job)
                 return self._give_up(job, errors.NO_ENGINE, now)
-            self._look_at = min(self._look_at, choice.wait_until)
+            self._look_at = min(self._look_at, choice.retry_at)
         return None
 
-    def next_look(self, now: float) -> float | None:
+    def next_decision_at(self, now: float) -> float | None:
         """Return when `decide` should be called again; None if idle."""
         if not len(self._queue):
             return None
         return max(now + _SOONEST_LOOK, self._look_at)
 
-    def progress(self, news: messages.Progress, now: float) -> None:
+    def record_progress(self, news: messages.Progress, now: float) -> None:
         """Take an entry's word on how far an attempt is."""
         reservation = self._reservations.get(news.stream)
         if reservation is None:
             return
-        reservation.seen_at = now
+        reservation.confirmed_at = now
         before = reservation.stage
         reservation.stage = news.stage
         if before is states.Stage.PREFILL:
@@ -230,31 +230,33 @@
         if news.stage is states.Stage.DECODE:
             decode = self._pools.decode(reservation.decode)
             if decode is not None:
-                stay = self._waits.stay(decode, reservation.output_tokens, now)
-                decode.move(news.stream, stay)
+                stay = self._waits.estimate_hold(
+                    decode, reservation.output_tokens, now
+                )
+                decode.reschedule(news.stream, stay)
 
     def release(self, news: messages.Release, now: float) -> None:
         """Free what an attempt held."""
-        reservation = self._reservations.take(news.stream, now)
+        reservation = self._reservations.release(news.stream, now)
         if reservation is None:
-            self.withdraw(news.stream)
+            self.cancel(news.stream)
             return
         if news.failed is not None:
-            self.failed(news.failed, now)
+            self.record_failure(news.failed, now)
             return
         self._learn(reservation, news, now)
 
-    def rebuild(self, report: messages.HeldReport, now: float) -> None:
+    def reconcile(self, report: messages.HeldReport, now: float) -> None:
         """Take an entry's complete report: add, confirm and drop."""
-        self._reservations.rebuild(report, now)
+        self._reservations.reconcile(report, now)
 
-    def lapse(self, now: float) -> list[ids.StreamId]:
+    def expire(self, now: float) -> list[ids.StreamId]:
         """Drop reservations without a sign of their entry."""
-        return self._reservations.lapse(now)
+        return self._reservations.expire(now)
 
-    def forget_entry(self, entry: ids.MemberId, now: float) -> None:
+    def remove_entry(self, entry: ids.MemberId, now: float) -> None:
         """Free everything of an entry that is gone."""
-        self._reservations.forget_entry(entry, now)
+        self._reservations.release_entry(entry, now)
         for job in self._queue.items():
             if job.request.entry == entry:
                 self._queue.remove(job.stream)
@@ -265,8 +267,8 @@
         self, request: messages.PlaceRequest, share: float, now: float
     ) -> jobs.Job:
         tokens = request.prompt_tokens
-        cost = self._waits.cost(tokens)
-        after = self._waits.after_prefill(tokens)
+        cost = self._waits.prefill_cost(tokens)
+        after = self._waits.min_first_token_delay(tokens)
         start_by = now + request.patience - cost - after
         promised = self._promises.redeem(request.ticket, now)
         if promised:
@@ -274,11 +276,11 @@
         return jobs.Job(request, share, cost, start_by, now, promised)
 
     def _refusal(self, job: jobs.Job, now: float) -> errors.Reason | None:
-        if len(self._queue) >= LONGEST_QUEUE:
+        if len(self._queue) >= MAX_QUEUE_LENGTH:
             return errors.QUEUE_FULL
-        if not any(pairing.may_take(e) for e in self._pools.prefills):
+        if not any(pairing.accepts_work(e) for e in self._pools.prefills):
             return errors.NO_ENGINE
-        if not any(pairing.may_take(e) for e in self._pools.decodes):
+        if not any(pairing.accepts_work(e) for e in self._pools.decodes):
             return errors.NO_ENGINE
         if now + self._expected_wait(job, now) > job.start_by:
             return errors.NO_TIME
@@ -290,15 +292,15 @@
         Promised work counts if it is due before the request would start
         without it.
         """
-        if job.promised:
+        if job.has_ticket:
             return self._wait_behind(job, 0.0, now)
-        ahead = self._queue.ahead(job)
+        ahead = self._queue.work_ahead(job)
         wait = self._wait_behind(job, ahead, now)
-        owed = self._promises.owed(now + wait, job.urgency, now)
+        owed = self._promises.promised_work(now + wait, job.urgency, now)
         return self._wait_behind(job, ahead + owed, now) if owed else wait
 
     def _wait_behind(self, job: jobs.Job, ahead: float, now: float) -> float:
-        return self._waits.expected(
+        return self._waits.expected_prefill_wait(
             job.cost,
             ahead,
             len(self._queue) + len(self._promises),
@@ -308,28 +310,28 @@
 
     def _choose(self, job: jobs.Job, now: float) -> pairing.Choice:
         request = job.request
-        need = pairing.Need(
+        need = pairing.Requirements(
             prompt_tokens=request.prompt_tokens,
-            blocks=len(request.blocks),
+            block_count=len(request.blocks),
             hits=self._index.hits(request.blocks, now),
             data_centre=request.data_centre,
             avoid=frozenset(request.avoid),
             allowed=self._allowed.get(request.site, frozenset()),
             waste_weight=self._service.waste_weight,
         )
-        choice = pairing.choose(
+        choice = pairing.choose_pair(
             need,
             self._pools.prefills,
             self._pools.decodes,
             now,
-            LOOKAHEAD,
+            LOOKAHEAD_S,
             self._random,
         )
         if job.urgency is states.Urgency.URGENT or choice.pair is None:
             return choice
-        if self._headroom.leaves(self._pools, choice.pair, now):
+        if self._headroom.permits(self._pools, choice.pair, now):
             return choice
-        return pairing.Choice(None, wait_until=now + _RECHECK)
+        return pairing.Choice(None, retry_at=now + _RECHECK)
 
     def _expired(self, now: float) -> list[jobs.Decision]:
         """Give up every waiting request that can't start in time."""
@@ -346,15 +348,15 @@
     ) -> jobs.Decision:
         wait = self._expected_wait(job, now)
         ticket = f'{self._random.getrandbits(64):016x}'
-        room_in = self._promises.give(
+        room_in = self._promises.issue(
             ticket,
             wait,
-            self._waits.release_rate(),
+            self._waits.admission_rate(),
             job.cost,
             job.urgency,
             now,
         )
-        retry_after = max(LEAST_RETRY_AFTER, room_in)
+        retry_after = max(MIN_RETRY_AFTER_S, room_in)
         answer = messages.GivenUp(
             stream=job.stream,
             reason=reason.name,
@@ -370,24 +372,24 @@
         pair = choice.pair
         assert pair is not None
         request = job.request
-        self._reservations.place(request, pair, now)
+        self._reservations.reserve(request, pair, now)
         self._note_trial(pair, job.stream)
         if job.urgency is not states.Urgency.URGENT:
-            self._headroom.let_through(now)
+            self._headroom.record_less_urgent(now)
         answer = messages.Placed(
             stream=job.stream,
             prefill=pair.prefill.name,
             decode=pair.decode.name,
             why=choice.explain(now - job.arrived_at),
-            transfer=pair.arrives_at - pair.sent_at,
+            transfer=pair.transfer_ends_at - pair.transfer_starts_at,
         )
         return jobs.Decision(request, answer)
 
     def _note_trial(self, pair: pairing.Pair, stream: ids.StreamId) -> None:
         if pair.prefill.health.state is health.Health.TRIAL:
-            pair.prefill.trial = stream
+            pair.prefill.trial_stream = stream
         if pair.decode.health.state is health.Health.TRIAL:
-            pair.decode.trial = stream
+            pair.decode.trial_stream = stream
 
     def _prefilled(
         self,
@@ -398,10 +400,10 @@
         prefill = self._pools.prefill(reservation.prefill)
         if prefill is None:
             return
-        prefill.done(reservation.stream, now, news.seconds)
-        prefill.health.succeeded(now)
-        prefill.trial = None
-        self._index.stored(prefill.name, reservation.blocks, now)
+        prefill.finish(reservation.stream, now, news.seconds)
+        prefill.health.record_success(now)
+        prefill.trial_stream = None
+        self._index.add_prefixes(prefill.name, reservation.blocks, now)
 
     def _learn(
         self,
@@ -413,12 +415,14 @@
         decode = self._pools.decode(reservation.decode)
         if decode is None or not news.tokens:
             return
-        decode.health.succeeded(now)
+        decode.health.record_success(now)
         if news.seconds_per_token > 0:
             self._note_pace(decode, news.seconds_per_token)
         held = now - reservation.placed_at
-        self._waits.learn(news.tokens, reservation.output_tokens, held)
+        self._waits.record_completion(
+            news.tokens, reservation.output_tokens, held
+        )
 
     def _note_pace(self, decode: engines.DecodeEngine, seconds: float) -> None:
         target = self._service.between_tokens_ms / 1000
-        self._pools.note_pace(decode, seconds, target)
+        self._pools.record_token_interval(decode, seconds, target)
--- a/galenahatch/core/cells.py
+++ b/galenahatch/core/cells.py
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
+class CellConfig:
     """One cell as the configuration makes it.
 
     Attributes:
@@ -44,13 +44,13 @@
     cell: ids.CellId
     service: schema.ModelService
     engines: tuple[schema.Engine, ...]
-    allowed: dict[ids.SiteName, frozenset[ids.EngineName]]
+    allowed_by_site: dict[ids.SiteName, frozenset[ids.EngineName]]
 
 
-def plans(
+def cell_configs(
     sites: collections.abc.Mapping[str, schema.Config],
     region: ids.RegionName,
-) -> dict[ids.CellId, Plan]:
+) -> dict[ids.CellId, CellConfig]:
     """Return the cells of a region."""
     within = _sites_within(sites, region)
     services = {s.name: s for c in within.values() for s in c.services}
@@ -59,16 +59,16 @@
         for site, settings in within.items()
     }
     engines = _engines_by_service(within, region)
-    found: dict[ids.CellId, Plan] = {}
+    found: dict[ids.CellId, CellConfig] = {}
     for service in services.values():
         declared = engines.get(service.name, ())
         count = shard_count(declared)
         for shard in range(count):
-            cell = cell_of(service.name, region, shard)
+            cell = cell_id(service.name, region, shard)
             members = tuple(
                 e for e in declared if _shard_of(e.name, count) == shard
             )
-            found[cell] = Plan(cell, service, members, allowed)
+            found[cell] = CellConfig(cell, service, members, allowed)
     return found
 
 
@@ -79,14 +79,14 @@
     return -(-larger // ENGINES_PER_SHARD)
 
 
-def cell_of(
+def cell_id(
     service: ids.ServiceName, region: ids.RegionName, shard: int
 ) -> ids.CellId:
     """Return the id of a cell."""
     return ids.CellId(f'{service}/{region}/{shard}')
 
 
-def cell_for(
+def cell_of_request(
     cells: collections.abc.Collection[ids.CellId],
     service: ids.ServiceName,
     region: ids.RegionName,
@@ -99,7 +99,7 @@
     if not count:
         return None
     key = str(blocks[0]) if blocks else request
-    return cell_of(service, region, _shard_of(key, count))
+    return cell_id(service, region, _shard_of(key, count))
 
 
 def _shard_of(key: str, count: int) -> int:
--- a/galenahatch/core/claim.py
+++ b/galenahatch/core/claim.py
@@ -33,11 +33,11 @@
 from galenahatch import messages
 from galenahatch import states
 
-INLINE_BYTES: typing.Final = 8192
+MAX_INLINE_ANSWER_BYTES: typing.Final = 8192
 """Answers up to this size stand in the record itself."""
 
 
-MOST_ABANDONED: typing.Final = 100_000
+MAX_ABANDONED_TOKENS: typing.Final = 100_000
 
 
 class Phase(enum.Enum):
@@ -98,13 +98,13 @@
 _DECODER: typing.Final = msgspec.msgpack.Decoder(Record)
 
 
-def key_of(caller: ids.CallerName, idempotency_key: str) -> ids.ClaimKey:
+def claim_key(caller: ids.CallerName, idempotency_key: str) -> ids.ClaimKey:
     """Return the key of a claim; callers never share one."""
     text = f'{caller}\x00{idempotency_key}'
     return ids.ClaimKey(hashlib.sha256(text.encode()).hexdigest()[:32])
 
 
-def fingerprint_of(path: str, body: bytes) -> str:
+def request_fingerprint(path: str, body: bytes) -> str:
     """Return the digest that tells a reused key from a repeated one."""
     digest = hashlib.sha256(path.encode() + b'\x00' + body)
     return digest.hexdigest()[:32]
@@ -123,7 +123,9 @@
         return errors.Failure(errors.BAD_FRAME, str(error))
 
 
-def judge(record: Record, token: ids.ClaimToken, fingerprint: str) -> Arrival:
+def classify_arrival(
+    record: Record, token: ids.ClaimToken, fingerprint: str
+) -> Arrival:
     """Return what an arrival with this token may do.
 
     Args:
@@ -140,7 +142,7 @@
     return Arrival.ASK_HOLDER
 
 
-def finished(record: Record, answer: Answer, object_key: str) -> Record:
+def finished_record(record: Record, answer: Answer, object_key: str) -> Record:
     """Return the done record of a claim.
 
     Args:
@@ -169,7 +171,7 @@
     FINISHED = 'finished'
 
 
-class Holdings:
+class ClaimTokens:
     """Every token that one entry made, until its fate is in the table.
 
     A token moves from pending to running or abandoned and never back:
@@ -186,11 +188,11 @@
         )
         self._answers: dict[ids.ClaimToken, Answer] = {}
 
-    def begin(self, token: ids.ClaimToken) -> None:
+    def add_pending(self, token: ids.ClaimToken) -> None:
         """Note a fresh token, before its claim is sent."""
         self._holds[token] = Hold.PENDING
 
-    def dispatch(self, token: ids.ClaimToken) -> bool:
+    def try_dispatch(self, token: ids.ClaimToken) -> bool:
         """Move a confirmed token to running; False if it may not run."""
         if self._holds.get(token) is not Hold.PENDING:
             return False
@@ -205,7 +207,7 @@
         self._remember_abandoned(token)
         return True
 
-    def withdraw(self, token: ids.ClaimToken) -> None:
+    def abandon_dispatched(self, token: ids.ClaimToken) -> None:
         """Give a token up though it was dispatched: nothing started."""
         self._remember_abandoned(token)
 
@@ -214,12 +216,12 @@
         self._holds[token] = Hold.FINISHED
         self._answers[token] = answer
 
-    def settle(self, token: ids.ClaimToken) -> None:
+    def forget(self, token: ids.ClaimToken) -> None:
         """Forget a token whose fate is in the table."""
         self._holds.pop(token, None)
         self._answers.pop(token, None)
 
-    def hold(self, token: ids.ClaimToken) -> Hold | None:
+    def state(self, token: ids.ClaimToken) -> Hold | None:
         """Return what is known of a token; None when nothing."""
         return self._holds.get(token)
 
@@ -230,15 +232,15 @@
     def _remember_abandoned(self, token: ids.ClaimToken) -> None:
         self._holds[token] = Hold.ABANDONED
         self._abandoned.append(token)
-        if len(self._abandoned) > MOST_ABANDONED:
+        if len(self._abandoned) > MAX_ABANDONED_TOKENS:
             self._holds.pop(self._abandoned.popleft(), None)
 
-    def unfinished(self) -> int:
+    def count_unsettled(self) -> int:
         """Return how many tokens are pending, running or unsettled."""
         return sum(hold is not Hold.ABANDONED for hold in self._holds.values())
 
 
-def reply_of(
+def claim_reply(
     request: messages.ClaimRequest, stored: bytes | None
 ) -> messages.ClaimReply:
     """Return the reply to a claim from what the table now holds.
--- a/galenahatch/core/claimwrites.py
+++ b/galenahatch/core/claimwrites.py
@@ -28,17 +28,17 @@
 Operation = messages.ClaimRequest | messages.ClaimVoid | messages.ClaimDone
 
 
-def name_of(key: ids.ClaimKey) -> str:
+def table_key(key: ids.ClaimKey) -> str:
     """Return the table key of a claim."""
     return f'claim/{key}'
 
 
-def key_in(name: str) -> ids.ClaimKey:
+def claim_key_from(name: str) -> ids.ClaimKey:
     """Return the claim that a table key names."""
     return ids.ClaimKey(name.partition('/')[2])
 
 
-def claimed(request: messages.ClaimRequest) -> bytes:
+def encode_new_claim(request: messages.ClaimRequest) -> bytes:
     """Return the record of a fresh claim."""
     return claim.encode(
         claim.Record(
@@ -50,44 +50,46 @@
     )
 
 
-def transaction_of(
+def build_transaction(
     operations: collections.abc.Iterable[Operation],
 ) -> transaction.Transaction:
     """Return one transaction for operations on different keys."""
     conditions = []
     writes = []
     for operation in operations:
-        before, after = change_of(operation)
-        name = name_of(operation.key)
+        before, after = expected_and_new_value(operation)
+        name = table_key(operation.key)
         conditions.append(transaction.Condition(name, before))
         writes.append(transaction.Write(name, after))
     return transaction.Transaction(tuple(conditions), tuple(writes))
 
 
-def change_of(operation: Operation) -> tuple[bytes | None, bytes | None]:
+def expected_and_new_value(
+    operation: Operation,
+) -> tuple[bytes | None, bytes | None]:
     """Return the value before and after an operation."""
     if isinstance(operation, messages.ClaimRequest):
-        return None, claimed(operation)
+        return None, encode_new_claim(operation)
     if isinstance(operation, messages.ClaimVoid):
         return operation.record, None
     return operation.claimed, operation.record
 
 
-def written(operation: Operation) -> messages.AnyMessage:
+def committed_reply(operation: Operation) -> messages.AnyMessage:
     """Return the reply to an operation that took effect."""
     if isinstance(operation, messages.ClaimRequest):
-        return claim.reply_of(operation, claimed(operation))
+        return claim.claim_reply(operation, encode_new_claim(operation))
     if isinstance(operation, messages.ClaimVoid):
         return messages.VoidReply(operation.key, operation.token, True)
     return messages.DoneReply(operation.key, operation.token, True)
 
 
-def conflicted(
+def conflict_reply(
     operation: Operation, value: bytes | None
 ) -> messages.AnyMessage:
     """Return the reply to an operation whose condition does not hold."""
     if isinstance(operation, messages.ClaimRequest):
-        return claim.reply_of(operation, value)
+        return claim.claim_reply(operation, value)
     if isinstance(operation, messages.ClaimVoid):
         # Whatever stands there is not the claim to remove.
         return messages.VoidReply(operation.key, operation.token, True)
@@ -96,10 +98,12 @@
     return messages.DoneReply(operation.key, operation.token, True)
 
 
-def found(operation: Operation, value: bytes | None) -> messages.AnyMessage:
+def readback_reply(
+    operation: Operation, value: bytes | None
+) -> messages.AnyMessage:
     """Return the reply after reading back what the table holds."""
     if isinstance(operation, messages.ClaimRequest):
-        return claim.reply_of(operation, value)
+        return claim.claim_reply(operation, value)
     if isinstance(operation, messages.ClaimVoid):
         gone = value != operation.record
         return messages.VoidReply(operation.key, operation.token, gone)
@@ -107,7 +111,7 @@
     return messages.DoneReply(operation.key, operation.token, stored)
 
 
-def unconfirmed(operation: Operation) -> messages.AnyMessage:
+def unconfirmed_reply(operation: Operation) -> messages.AnyMessage:
     """Return the reply when the table can't be read either."""
     if isinstance(operation, messages.ClaimRequest):
         status = states.ClaimStatus.UNREAD
--- a/galenahatch/core/customers.py
+++ b/galenahatch/core/customers.py
@@ -66,7 +66,7 @@
     priority: int | None = None
     unit: Unit = Unit.REQUESTS
     quota: Quota | None = None
-    plain_tokens: float = 0.0
+    default_tokens: float = 0.0
 
     def cost(self, tokens: int | None) -> float:
         """Return the units that a request counts as.
@@ -77,7 +77,7 @@
         """
         if self.unit is Unit.REQUESTS:
             return 1.0
-        return self.plain_tokens if tokens is None else float(tokens)
+        return self.default_tokens if tokens is None else float(tokens)
 
 
 class Customers:
@@ -101,22 +101,22 @@
         return self._by_name
 
     @property
-    def keys(self) -> int:
+    def key_count(self) -> int:
         """How many keys there are."""
         return len(self._by_key)
 
-    def find(self, key: ids.KeyDigest) -> Customer | None:
+    def find_by_key(self, key: ids.KeyDigest) -> Customer | None:
         """Return the customer that holds a key."""
         return self._by_key.get(key)
 
 
-def digest(key: str) -> ids.KeyDigest:
+def key_digest(key: str) -> ids.KeyDigest:
     """Return what stands for a key."""
     data = key.encode(errors='surrogateescape')
     return ids.KeyDigest(hashlib.sha256(data).hexdigest()[:_DIGEST_DIGITS])
 
 
-def identify(
+def authenticate(
     customers: Customers,
     credentials: typing.Sequence[str],
     is_anonymous: bool,
@@ -143,8 +143,8 @@
     key = bearer.group(1) or ''
     if not _KEY.fullmatch(key):
         return errors.Failure(errors.UNAUTHORIZED, 'malformed key')
-    customer = customers.find(digest(key))
+    customer = customers.find_by_key(key_digest(key))
     if customer is None:
-        detail = f'unknown key {digest(key)}'
+        detail = f'unknown key {key_digest(key)}'
         return errors.Failure(errors.UNAUTHORIZED, detail)
     return customer
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -182,7 +182,7 @@
             owed = 1 + self._returns.due(now)
             wait = self._forecast.wait(job, owed, now)
             if now + wait > waiting.limit(job):
-                return self._admission.keep_late(job, wait, now)
+                return self._admission.queue_late(job, wait, now)
         self._queue.add(job)
         return None
 
@@ -208,7 +208,7 @@
                 job, now
             )
             if decision is None and is_due:
-                decision = self._admission.keep_or_refuse(job, now)
+                decision = self._admission.queue_or_refuse(job, now)
             if decision is not None:
                 self._queue.remove(job.stream)
                 decisions.append(decision)
--- a/galenahatch/core/engines.py
+++ b/galenahatch/core/engines.py
@@ -57,7 +57,7 @@
     health: health.EngineHealth
     slowness: float = 1.0
     leaving: bool = False
-    trial: ids.StreamId | None = None
+    trial_stream: ids.StreamId | None = None
     _costs: dict[ids.StreamId, float] = dataclasses.field(default_factory=dict)
     _idle_at: float = 0.0
     link: links.Link = dataclasses.field(default_factory=links.Link)
@@ -68,7 +68,7 @@
         return self.settings.name
 
     @property
-    def outstanding(self) -> int:
+    def queued_prompts(self) -> int:
         """Prompts that it has or will get."""
         return len(self._costs)
 
@@ -86,7 +86,7 @@
         self._costs[stream] = cost
         self._idle_at = self.starts_at(now) + cost
 
-    def done(self, stream: ids.StreamId, now: float, seconds: float) -> None:
+    def finish(self, stream: ids.StreamId, now: float, seconds: float) -> None:
         """Note a finished prefill.
 
         Args:
@@ -102,14 +102,14 @@
             self.slowness = smooth(self.slowness, bounded)
         self._idle_at = now + sum(self._costs.values())
 
-    def drop(self, stream: ids.StreamId, now: float) -> None:
+    def release(self, stream: ids.StreamId, now: float) -> None:
         """Free what was reserved for a prompt that will not finish."""
         if stream in self._costs:
-            self.done(stream, now, 0.0)
+            self.finish(stream, now, 0.0)
 
 
 @dataclasses.dataclass(frozen=True)
-class Stay:
+class HoldEstimate:
     """How long a request is predicted to hold a place.
 
     Attributes:
@@ -118,7 +118,7 @@
     """
 
     ends_at: float
-    latest: float
+    latest_end: float
 
 
 @dataclasses.dataclass
@@ -136,10 +136,12 @@
     settings: schema.Engine
     health: health.EngineHealth
     seconds_per_token: float
-    usable: float
+    concurrency_limit: float
     leaving: bool = False
-    trial: ids.StreamId | None = None
-    _held: dict[ids.StreamId, Stay] = dataclasses.field(default_factory=dict)
+    trial_stream: ids.StreamId | None = None
+    _held: dict[ids.StreamId, HoldEstimate] = dataclasses.field(
+        default_factory=dict
+    )
     _sorted: list[tuple[float, ids.StreamId]] = dataclasses.field(
         default_factory=list
     )
@@ -158,7 +160,7 @@
     @property
     def places(self) -> int:
         """Places that may be used now."""
-        return max(1, round(self.usable))
+        return max(1, round(self.concurrency_limit))
 
     def free_at(self, now: float) -> float:
         """Return when a place is predicted to be free."""
@@ -168,25 +170,27 @@
             return now
         return self._sorted[taken - self.places][0]
 
-    def add(self, stream: ids.StreamId, stay: Stay) -> None:
+    def add(self, stream: ids.StreamId, stay: HoldEstimate) -> None:
         """Reserve a place."""
         self._held[stream] = stay
         bisect.insort(self._sorted, (stay.ends_at, stream))
 
-    def move(self, stream: ids.StreamId, stay: Stay) -> None:
+    def reschedule(self, stream: ids.StreamId, stay: HoldEstimate) -> None:
         """Correct how long a place is held."""
         if stream in self._held:
-            self.drop(stream)
+            self.release(stream)
             self.add(stream, stay)
 
-    def drop(self, stream: ids.StreamId) -> None:
+    def release(self, stream: ids.StreamId) -> None:
         """Free a place."""
         stay = self._held.pop(stream, None)
         if stay is not None:
             at = bisect.bisect_left(self._sorted, (stay.ends_at, stream))
             del self._sorted[at]
 
-    def paced(self, seconds: float, target: float, alone: float) -> None:
+    def record_token_interval(
+        self, seconds: float, target: float, alone: float
+    ) -> None:
         """Note a time between tokens and adapt the usable places.
 
         Args:
@@ -198,9 +202,11 @@
             return
         self.seconds_per_token = smooth(self.seconds_per_token, seconds)
         if self.seconds_per_token > target and alone > 0.5:
-            self.usable = max(1.0, self.usable * 0.95)
+            self.concurrency_limit = max(1.0, self.concurrency_limit * 0.95)
         elif self.seconds_per_token < 0.9 * target:
-            self.usable = min(self.settings.places, self.usable + 0.1)
+            self.concurrency_limit = min(
+                self.settings.places, self.concurrency_limit + 0.1
+            )
 
     def _put_off_overdue(self, now: float) -> None:
         """Predict again the places that should have been free by now.
@@ -210,18 +216,18 @@
         """
         while self._sorted and self._sorted[0][0] <= now:
             stream = self._sorted[0][1]
-            latest = self._held[stream].latest
+            latest = self._held[stream].latest_end
             left = max(2 * self.seconds_per_token, latest - now)
-            self.move(stream, Stay(now + left / 2, latest))
+            self.reschedule(stream, HoldEstimate(now + left / 2, latest))
 
 
-def between(prefill: PrefillEngine, decode: DecodeEngine) -> float:
+def transfer_delay(prefill: PrefillEngine, decode: DecodeEngine) -> float:
     """Return the extra seconds of a transfer between data centres."""
     here = prefill.settings.data_centre
     there = decode.settings.data_centre
     return 0.0 if here == there else _CROSS_CENTRE_SECONDS
 
 
-def away(engine: schema.Engine, centre: ids.DataCentre) -> float:
+def call_delay(engine: schema.Engine, centre: ids.DataCentre) -> float:
     """Return the extra seconds of calls from another data centre."""
     return 0.0 if engine.data_centre == centre else _CROSS_CENTRE_SECONDS
--- a/galenahatch/core/fairness.py
+++ b/galenahatch/core/fairness.py
@@ -26,7 +26,7 @@
 from galenahatch import ids
 from galenahatch import states
 
-CLASS_WEIGHT: typing.Final = {
+CLASS_WEIGHTS: typing.Final = {
     states.Urgency.URGENT: 64.0,
     states.Urgency.NORMAL: 8.0,
     states.Urgency.BULK: 1.0,
@@ -90,7 +90,8 @@
 
     def __init__(self) -> None:
         self._classes: dict[states.Urgency, _Class[_I]] = {
-            urgency: _Class(weight) for urgency, weight in CLASS_WEIGHT.items()
+            urgency: _Class(weight)
+            for urgency, weight in CLASS_WEIGHTS.items()
         }
         self._virtual = 0.0
         self._by_stream: dict[ids.StreamId, _I] = {}
@@ -143,7 +144,7 @@
             self._take_out(item)
         return item
 
-    def waiting(self, caller: ids.CallerName) -> int:
+    def count_waiting(self, caller: ids.CallerName) -> int:
         """Return how many requests of a caller wait."""
         return sum(
             len(level.flows[caller].items)
@@ -151,7 +152,7 @@
             if caller in level.flows
         )
 
-    def ahead(self, item: _I) -> float:
+    def work_ahead(self, item: _I) -> float:
         """Return the work that is served before a new request.
 
         It is the smaller of two bounds: everything of this class and the
--- a/galenahatch/core/headroom.py
+++ b/galenahatch/core/headroom.py
@@ -34,9 +34,9 @@
 _SMOOTHING: typing.Final = 0.1
 _LONGEST_SLACK: typing.Final = 1.0
 """Urgent requests that can wait longer find places as others end."""
-LOWER_EVERY: typing.Final = 1.0
+LESS_URGENT_INTERVAL_S: typing.Final = 1.0
 """Seconds after which one less urgent request is let through anyway."""
-MARGIN: typing.Final = 0.7
+HEADROOM_FACTOR: typing.Final = 0.7
 
 
 class Headroom:
@@ -49,15 +49,15 @@
         self._slack = 0.0
         self._lower_at = 0.0
 
-    def let_through(self, now: float) -> None:
+    def record_less_urgent(self, now: float) -> None:
         """Note that a less urgent request was placed."""
         self._lower_at = now
 
     def is_overdue(self, now: float) -> bool:
         """Return whether a less urgent request is due, headroom or not."""
-        return now - self._lower_at > LOWER_EVERY
+        return now - self._lower_at > LESS_URGENT_INTERVAL_S
 
-    def note(self, cost: float, slack: float, now: float) -> None:
+    def record_urgent(self, cost: float, slack: float, now: float) -> None:
         """Note an urgent request.
 
         Args:
@@ -74,40 +74,42 @@
             before = self._slack or slack
             self._slack = before + _SMOOTHING * (slack - before)
 
-    def leaves(
+    def permits(
         self, engines_of: pools.Pools, pair: pairing.Pair, now: float
     ) -> bool:
         """Return whether a less urgent request may have a pair now."""
         if self.is_overdue(now):
             return True
-        working = engines_of.working_decodes()
+        working = engines_of.healthy_decodes()
         places = sum(decode.places - decode.reserved for decode in working)
-        if places - 1 < self.places(now):
+        if places - 1 < self.places_to_reserve(now):
             return False
         waits = [
             engine.starts_at(now) - now
-            for engine in engines_of.working_prefills()
+            for engine in engines_of.healthy_prefills()
             if engine is not pair.prefill
         ]
         if not waits:
             return True
         waits.append(pair.prefilled_at - now)
-        return self.left(waits, now)
+        return self.has_free_time(waits, now)
 
-    def left(self, waits: collections.abc.Iterable[float], now: float) -> bool:
+    def has_free_time(
+        self, waits: collections.abc.Iterable[float], now: float
+    ) -> bool:
         """Return whether engines have enough free time for urgent work.
 
         Args:
             waits: seconds until each engine is idle.
             now: monotonic seconds.
         """
-        needed = self._work * self._fading(now) * self._slack * MARGIN
+        needed = self._work * self._fading(now) * self._slack * HEADROOM_FACTOR
         if needed <= 0:
             return True
         free = sum(max(0.0, self._slack - wait) for wait in waits)
         return free >= needed
 
-    def places(self, now: float) -> float:
+    def places_to_reserve(self, now: float) -> float:
         """Return how many decode places to leave free."""
         return self._rate * self._fading(now) * self._slack
 
--- a/galenahatch/core/health.py
+++ b/galenahatch/core/health.py
@@ -23,13 +23,13 @@
 import statistics
 import typing
 
-ERRORS_IN_A_ROW: typing.Final = 3
-SILENCE: typing.Final = 3.0
+EJECT_AFTER_ERRORS: typing.Final = 3
+SILENCE_TIMEOUT_S: typing.Final = 3.0
 SLOW_FACTOR: typing.Final = 2.5
-SLOW_SAMPLES: typing.Final = 3
-FIRST_PAUSE: typing.Final = 5.0
-LONGEST_PAUSE: typing.Final = 60.0
-EJECTED_SHARE: typing.Final = 0.5
+EJECT_AFTER_SLOW_SAMPLES: typing.Final = 3
+FIRST_EJECTION_S: typing.Final = 5.0
+MAX_EJECTION_S: typing.Final = 60.0
+MAX_EJECTED_SHARE: typing.Final = 0.5
 
 
 class Health(enum.Enum):
@@ -47,34 +47,36 @@
         self.state = Health.GOOD
         self._errors = 0
         self._slow = 0
-        self._pause = FIRST_PAUSE
+        self._pause = FIRST_EJECTION_S
         self._until = 0.0
         self._heard_at: float | None = None
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Note an attempt that the engine served."""
         self._errors = 0
         self._heard_at = now
         if self.state is Health.TRIAL:
             self.state = Health.GOOD
-            self._pause = FIRST_PAUSE
+            self._pause = FIRST_EJECTION_S
 
-    def heard(self, now: float) -> None:
+    def record_report(self, now: float) -> None:
         """Note a load report."""
         self._heard_at = now
 
-    def unprobed(self) -> None:
+    def expect_no_reports(self) -> None:
         """Expect no load reports until the next one."""
         self._heard_at = None
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Note an attempt that the engine failed."""
         self._errors += 1
         if self.state is Health.TRIAL:
-            self._pause = min(self._pause * 2, LONGEST_PAUSE)
+            self._pause = min(self._pause * 2, MAX_EJECTION_S)
             self._eject(now)
 
-    def paced(self, seconds: float, peers: list[float]) -> None:
+    def record_token_interval(
+        self, seconds: float, peers: list[float]
+    ) -> None:
         """Note a time between tokens beside those of its peers."""
         if len(peers) < 2:
             return
@@ -82,15 +84,18 @@
         slow = seconds > SLOW_FACTOR * usual
         self._slow = self._slow + 1 if slow else 0
 
-    def wants_out(self, now: float) -> bool:
+    def should_eject(self, now: float) -> bool:
         """Return whether the engine should be ejected."""
         if self.state is not Health.GOOD:
             return False
-        silent = self._heard_at is not None and now - self._heard_at > SILENCE
+        silent = (
+            self._heard_at is not None
+            and now - self._heard_at > SILENCE_TIMEOUT_S
+        )
         return (
             silent
-            or self._errors >= ERRORS_IN_A_ROW
-            or self._slow >= SLOW_SAMPLES
+            or self._errors >= EJECT_AFTER_ERRORS
+            or self._slow >= EJECT_AFTER_SLOW_SAMPLES
         )
 
     def update(self, now: float, may_eject: bool) -> Health:
@@ -105,7 +110,7 @@
             self._errors = 0
             self._slow = 0
             self._heard_at = now
-        elif may_eject and self.wants_out(now):
+        elif may_eject and self.should_eject(now):
             self._eject(now)
         return self.state
 
--- a/galenahatch/core/incarnations.py
+++ b/galenahatch/core/incarnations.py
@@ -27,37 +27,37 @@
 
 from galenahatch import ids
 
-UNKNOWN: typing.Final = 0
+UNKNOWN_START: typing.Final = 0
 """Stands for the start of an upstream that does not tell it."""
 _MARK: typing.Final = '@'
 
 
-def incarnation(instance: ids.InstanceId, born: int) -> ids.UpstreamId:
+def upstream_id(instance: ids.InstanceId, born: int) -> ids.UpstreamId:
     """Return the incarnation of an instance.
 
     Args:
         instance: id under which it registers.
         born: Unix milliseconds of its start, or `UNKNOWN`.
     """
-    if born == UNKNOWN and _MARK not in instance:
+    if born == UNKNOWN_START and _MARK not in instance:
         return ids.UpstreamId(instance)
     return ids.UpstreamId(f'{instance}{_MARK}{born}')
 
 
-def instance(upstream: ids.UpstreamId) -> ids.InstanceId:
+def instance_id(upstream: ids.UpstreamId) -> ids.InstanceId:
     """Return the id on the wire."""
     name, mark, moment = upstream.rpartition(_MARK)
     is_told = bool(mark) and moment.isdecimal()
     return ids.InstanceId(name if is_told else upstream)
 
 
-def born(upstream: ids.UpstreamId) -> int:
+def started_ms(upstream: ids.UpstreamId) -> int:
     """Return the Unix milliseconds of the start, or `UNKNOWN`."""
     _, mark, moment = upstream.rpartition(_MARK)
-    return int(moment) if mark and moment.isdecimal() else UNKNOWN
+    return int(moment) if mark and moment.isdecimal() else UNKNOWN_START
 
 
-def is_later(upstream: ids.UpstreamId, other: ids.UpstreamId) -> bool:
+def is_later_start(upstream: ids.UpstreamId, other: ids.UpstreamId) -> bool:
     """Return whether an upstream is a later start of another's instance."""
-    is_same = instance(upstream) == instance(other)
-    return is_same and born(upstream) > born(other)
+    is_same = instance_id(upstream) == instance_id(other)
+    return is_same and started_ms(upstream) > started_ms(other)
--- a/galenahatch/core/jobs.py
+++ b/galenahatch/core/jobs.py
@@ -31,7 +31,7 @@
     cost: float
     start_by: float
     arrived_at: float
-    promised: bool
+    has_ticket: bool
 
     @property
     def stream(self) -> ids.StreamId:
@@ -41,7 +41,7 @@
     @property
     def caller(self) -> ids.CallerName:
         """Flow in the queue: the caller's, or that of kept promises."""
-        return _PROMISED if self.promised else self.request.caller
+        return _PROMISED if self.has_ticket else self.request.caller
 
     @property
     def urgency(self) -> states.Urgency:
--- a/galenahatch/core/lease.py
+++ b/galenahatch/core/lease.py
@@ -26,7 +26,7 @@
 
 from galenahatch import ids
 
-HOLD_SHARE: typing.Final = 0.5
+HOLD_FRACTION: typing.Final = 0.5
 """Share of the lease's length for which the holder trusts a renewal."""
 
 
@@ -76,7 +76,7 @@
             self._seen = record
             self._seen_at = now
 
-    def proposal(self, now: float) -> Record | None:
+    def propose(self, now: float) -> Record | None:
         """Return the record to compare-and-set, or None to stand by.
 
         The holder proposes a renewal; a standby proposes to take over once
@@ -93,7 +93,9 @@
             return None
         return Record(self._member, self._incarnation, seen.fencing + 1, 0)
 
-    def accepted(self, record: Record, began: float, now: float) -> None:
+    def record_accepted(
+        self, record: Record, began: float, now: float
+    ) -> None:
         """Note that the table took a proposal.
 
         Args:
@@ -106,13 +108,13 @@
             self._orders_from = now + self._longest_order
         self._seen = record
         self._seen_at = now
-        self._valid_until = began + self._length * HOLD_SHARE
+        self._valid_until = began + self._length * HOLD_FRACTION
 
     def resign(self) -> None:
         """Send no order any more."""
         self._valid_until = 0.0
 
-    def may_order(self, now: float) -> bool:
+    def may_send_orders(self, now: float) -> bool:
         """Return whether an order may be sent now."""
         seen = self._seen
         if seen is None or not self._is_mine(seen):
--- a/galenahatch/core/leaving.py
+++ b/galenahatch/core/leaving.py
@@ -24,7 +24,7 @@
 from galenahatch import schema
 
 
-class Leaving:
+class LeavingUpstreams:
     """What each source said last."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self._addresses: frozenset[str] = frozenset()
         self._reports: dict[ids.EngineName, tuple[int, int, bool]] = {}
 
-    def configured(
+    def record_configuration(
         self, revision: int, draining: collections.abc.Iterable[str]
     ) -> None:
         """Take the drained upstreams of a configuration."""
@@ -42,7 +42,7 @@
             self._revision = revision
             self._draining = frozenset(draining)
 
-    def listed(
+    def record_vm_list(
         self, version: int, addresses: collections.abc.Iterable[str]
     ) -> None:
         """Take the addresses that a version of the VM list calls leaving."""
@@ -50,7 +50,7 @@
             self._version = version
             self._addresses = frozenset(addresses)
 
-    def reported(
+    def record_report(
         self,
         engine: ids.EngineName,
         incarnation: int,
@@ -68,7 +68,7 @@
             leaving = leaving or before[2]
         self._reports[engine] = (incarnation, sequence, leaving)
 
-    def names(
+    def leaving_engines(
         self, declared: collections.abc.Iterable[schema.Engine]
     ) -> frozenset[ids.EngineName]:
         """Return the engines that leave."""
@@ -76,7 +76,7 @@
             engine.name for engine in declared if self._leaves(engine)
         )
 
-    def url_leaves(self, url: str, address: str) -> bool:
+    def is_url_leaving(self, url: str, address: str) -> bool:
         """Return whether a plain service's upstream leaves."""
         return url in self._draining or address in self._addresses
 
--- a/galenahatch/core/membership.py
+++ b/galenahatch/core/membership.py
@@ -29,7 +29,7 @@
 from galenahatch import messages
 from galenahatch import states
 
-FORGET_AFTER: typing.Final = 30.0
+FORGET_AFTER_S: typing.Final = 30.0
 """Seconds of silence after which a member is no longer remembered."""
 
 
@@ -57,12 +57,14 @@
     """
 
     def __init__(self, silence: float) -> None:
-        self.silence = silence
+        self.silence_timeout = silence
         self._members: dict[ids.MemberId, _Member] = {}
         self._leaving_vms: frozenset[str] = frozenset()
         self._listed_vms: frozenset[str] | None = None
 
-    def heard(self, heartbeat: messages.Heartbeat, now: float) -> bool:
+    def record_heartbeat(
+        self, heartbeat: messages.Heartbeat, now: float
+    ) -> bool:
         """Take a heartbeat; return whether the member is new or restarted.
 
         Args:
@@ -83,7 +85,7 @@
         known.heard_at = now
         return restarted
 
-    def listed(
+    def record_vm_list(
         self,
         live: collections.abc.Iterable[str],
         leaving: collections.abc.Iterable[str],
@@ -92,34 +94,36 @@
         self._leaving_vms = frozenset(leaving)
         self._listed_vms = frozenset(live) | self._leaving_vms
 
-    def forget(self, now: float) -> None:
+    def forget_silent(self, now: float) -> None:
         """Drop members that have been silent for long."""
-        for member in self.silent(now, FORGET_AFTER):
+        for member in self.silent_members(now, FORGET_AFTER_S):
             del self._members[member]
 
-    def live(self, role: states.Role, now: float) -> list[ids.MemberId]:
+    def live_members(
+        self, role: states.Role, now: float
+    ) -> list[ids.MemberId]:
         """Return the members of a role that take new work, sorted."""
         return sorted(
             member
             for member, state in self._members.items()
             if role_of(member) == role.value
-            and now - state.heard_at <= self.silence
+            and now - state.heard_at <= self.silence_timeout
             and state.heartbeat.standing is states.Standing.LIVE
             and address_of(member) not in self._leaving_vms
         )
 
-    def silent(
+    def silent_members(
         self, now: float, seconds: float | None = None
     ) -> list[ids.MemberId]:
         """Return the members not heard for some time."""
-        limit = self.silence if seconds is None else seconds
+        limit = self.silence_timeout if seconds is None else seconds
         return [
             member
             for member, state in self._members.items()
             if now - state.heard_at > limit
         ]
 
-    def silence_of(self, member: ids.MemberId, now: float) -> float:
+    def silence_duration(self, member: ids.MemberId, now: float) -> float:
         """Return seconds since a member was heard; negative if never."""
         state = self._members.get(member)
         return now - state.heard_at if state else -1.0
@@ -129,7 +133,7 @@
         state = self._members.get(member)
         return state.heartbeat.incarnation if state else None
 
-    def delisted(self, member: ids.MemberId) -> bool:
+    def is_delisted(self, member: ids.MemberId) -> bool:
         """Return whether the VM list no longer has a member's VM."""
         if self._listed_vms is None:
             return False
--- a/galenahatch/core/orders.py
+++ b/galenahatch/core/orders.py
@@ -34,7 +34,7 @@
     role: str
 
 
-class Send(msgspec.Struct, frozen=True):
+class PlannedOrder(msgspec.Struct, frozen=True):
     """An order to send to one engine, and why."""
 
     engine: ids.EngineName
@@ -42,7 +42,7 @@
     why: str
 
 
-def desired(
+def desired_orders(
     settings: schema.Config,
 ) -> dict[ids.EngineName, Order]:
     """Return what each engine should run."""
@@ -59,10 +59,10 @@
     }
 
 
-def plan(
+def plan_orders(
     wanted: collections.abc.Mapping[ids.EngineName, Order],
     observed: collections.abc.Mapping[ids.EngineName, Order],
-) -> list[Send]:
+) -> list[PlannedOrder]:
     """Return the orders that bring engines to what is wanted.
 
     Engines that could not be read are left alone until they can be.
@@ -77,5 +77,7 @@
             for name in ('model', 'adapter', 'version', 'role')
             if getattr(seen, name) != getattr(order, name)
         ]
-        sends.append(Send(engine, order, 'differs in ' + ', '.join(changed)))
+        sends.append(
+            PlannedOrder(engine, order, 'differs in ' + ', '.join(changed))
+        )
     return sends
--- a/galenahatch/core/pairing.py
+++ b/galenahatch/core/pairing.py
@@ -31,7 +31,7 @@
 from galenahatch.core import links
 from galenahatch import ids
 
-SAMPLE: typing.Final = 16
+SAMPLE_SIZE: typing.Final = 16
 _BEST: typing.Final = 4
 _EXPLAINED_LOSERS: typing.Final = 3
 _OCCUPANCY_SECONDS: typing.Final = 0.25
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Need:
+class Requirements:
     """What a request needs of a pair.
 
     Attributes:
@@ -53,7 +53,7 @@
     """
 
     prompt_tokens: int
-    blocks: int
+    block_count: int
     hits: collections.abc.Mapping[ids.EngineName, int]
     data_centre: ids.DataCentre
     avoid: frozenset[ids.EngineName]
@@ -77,8 +77,8 @@
     decode: engines.DecodeEngine
     cost: float
     prefilled_at: float
-    sent_at: float
-    arrives_at: float
+    transfer_starts_at: float
+    transfer_ends_at: float
     score: float
 
 
@@ -94,8 +94,8 @@
     """
 
     pair: Pair | None
-    others: tuple[Pair, ...] = ()
-    wait_until: float | None = None
+    alternatives: tuple[Pair, ...] = ()
+    retry_at: float | None = None
 
     def explain(self, waited: float) -> str:
         """Return why a pair won, with the scores of the best losers."""
@@ -103,7 +103,7 @@
             return 'no pair'
         losers = ','.join(
             f'{other.prefill.name}+{other.decode.name}:{other.score:.3f}'
-            for other in self.others[:_EXPLAINED_LOSERS]
+            for other in self.alternatives[:_EXPLAINED_LOSERS]
         )
         return (
             f'score={self.pair.score:.3f} waited={waited:.3f} '
@@ -111,8 +111,8 @@
         )
 
 
-def choose(
-    need: Need,
+def choose_pair(
+    need: Requirements,
     prefills: collections.abc.Sequence[engines.PrefillEngine],
     decodes: collections.abc.Sequence[engines.DecodeEngine],
     now: float,
@@ -138,25 +138,25 @@
     if not second:
         return Choice(None)
     if idle_at > now + lookahead:
-        return Choice(None, wait_until=idle_at - lookahead)
+        return Choice(None, retry_at=idle_at - lookahead)
     ranked_prefills = _rank_prefills(need, first, now, lookahead)
     ranked_decodes = _rank_decodes(need, second, now)
     pairs, wait_until = _score(need, ranked_prefills, ranked_decodes, now)
     if not pairs:
-        return Choice(None, wait_until=wait_until)
+        return Choice(None, retry_at=wait_until)
     pairs.sort(key=lambda pair: pair.score)
     return Choice(pairs[0], tuple(pairs[1:]))
 
 
-def uncached(need: Need, engine: ids.EngineName) -> int:
+def uncached_tokens(need: Requirements, engine: ids.EngineName) -> int:
     """Return the prompt tokens that an engine would have to prefill."""
-    if not need.blocks:
+    if not need.block_count:
         return need.prompt_tokens
-    share = need.hits.get(engine, 0) / need.blocks
+    share = need.hits.get(engine, 0) / need.block_count
     return max(1, int(need.prompt_tokens * (1 - share)))
 
 
-def may_take(engine: engines.PrefillEngine | engines.DecodeEngine) -> bool:
+def accepts_work(engine: engines.PrefillEngine | engines.DecodeEngine) -> bool:
     """Return whether an engine takes work, be it on trial."""
     state = engine.health.state
     return not engine.leaving and state is not health.Health.EJECTED
@@ -164,14 +164,14 @@
 
 def _open(engine: engines.PrefillEngine | engines.DecodeEngine) -> bool:
     """Return whether an engine may be given one more request."""
-    if not may_take(engine):
+    if not accepts_work(engine):
         return False
     on_trial = engine.health.state is health.Health.TRIAL
-    return not on_trial or engine.trial is None
+    return not on_trial or engine.trial_stream is None
 
 
 def _usable_prefills(
-    need: Need,
+    need: Requirements,
     prefills: collections.abc.Sequence[engines.PrefillEngine],
     random_source: random.Random,
 ) -> list[engines.PrefillEngine]:
@@ -187,7 +187,7 @@
 
 
 def _usable_decodes(
-    need: Need,
+    need: Requirements,
     decodes: collections.abc.Sequence[engines.DecodeEngine],
     random_source: random.Random,
 ) -> list[engines.DecodeEngine]:
@@ -200,7 +200,7 @@
 )
 
 
-def _candidates(need: Need, sample: list[_Pooled]) -> list[_Pooled]:
+def _candidates(need: Requirements, sample: list[_Pooled]) -> list[_Pooled]:
     """Return the engines that a request may run on.
 
     An engine that is ejected is a better try than one that has just failed
@@ -222,9 +222,9 @@
 def _sample(
     pool: collections.abc.Sequence[_E], random_source: random.Random
 ) -> list[_E]:
-    if len(pool) <= SAMPLE:
+    if len(pool) <= SAMPLE_SIZE:
         return list(pool)
-    return random_source.sample(pool, SAMPLE)
+    return random_source.sample(pool, SAMPLE_SIZE)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -248,7 +248,7 @@
 
 
 def _rank_prefills(
-    need: Need,
+    need: Requirements,
     pool: list[engines.PrefillEngine],
     now: float,
     lookahead: float,
@@ -258,28 +258,28 @@
         starts_at = engine.starts_at(now)
         if starts_at > now + lookahead:
             continue
-        cost = engine.cost(uncached(need, engine.name))
-        far = engines.away(engine.settings, need.data_centre)
+        cost = engine.cost(uncached_tokens(need, engine.name))
+        far = engines.call_delay(engine.settings, need.data_centre)
         starts.append(_Start(engine, cost, starts_at + cost, far))
     starts.sort(key=lambda start: start.prefilled_at + start.cost + start.far)
     return starts[:_BEST]
 
 
 def _rank_decodes(
-    need: Need, pool: list[engines.DecodeEngine], now: float
+    need: Requirements, pool: list[engines.DecodeEngine], now: float
 ) -> list[_Place]:
     places = []
     for engine in pool:
         free_at = engine.free_at(now)
         occupancy = engine.reserved / engine.places
-        far = engines.away(engine.settings, need.data_centre)
+        far = engines.call_delay(engine.settings, need.data_centre)
         places.append(_Place(engine, free_at, occupancy, far))
     places.sort(key=lambda place: (place.free_at, place.occupancy))
     return places[:_BEST]
 
 
 def _score(
-    need: Need, starts: list[_Start], places: list[_Place], now: float
+    need: Requirements, starts: list[_Start], places: list[_Place], now: float
 ) -> tuple[list[Pair], float]:
     """Return the pairs that are possible now, else when to look again."""
     pairs = []
@@ -300,7 +300,7 @@
 
 
 def _course(
-    need: Need, start: _Start, place: _Place, now: float
+    need: Requirements, start: _Start, place: _Place, now: float
 ) -> tuple[Pair, float]:
     """Predict the course of the request on a pair.
 
@@ -315,7 +315,7 @@
         prefill.settings.link_bytes_per_second,
         decode.settings.link_bytes_per_second,
     )
-    transfer = size / rate + engines.between(prefill, decode)
+    transfer = size / rate + engines.transfer_delay(prefill, decode)
     sent_at = links.earliest(
         prefill.link, decode.link, start.prefilled_at, transfer
     )
--- a/galenahatch/core/pauses.py
+++ b/galenahatch/core/pauses.py
@@ -24,7 +24,7 @@
 
 from galenahatch import ids
 
-LONGEST: typing.Final = 300.0
+MAX_PAUSE_S: typing.Final = 300.0
 """Seconds after which an upstream is tried in any case: one bad answer must
 not take it out for good."""
 _SPREAD: typing.Final = 0.2
@@ -42,15 +42,15 @@
         self._random = random_source
         self._until: dict[ids.UpstreamId, float] = {}
 
-    def begin(
+    def start(
         self, upstream: ids.UpstreamId, seconds: float, now: float
     ) -> None:
         """Take what an upstream asks for; an earlier pause is not cut."""
         spread = 1 + _SPREAD * self._random.random()
-        until = now + min(LONGEST, seconds) * spread
+        until = now + min(MAX_PAUSE_S, seconds) * spread
         self._until[upstream] = max(until, self._until.get(upstream, 0.0))
 
-    def left(self, upstream: ids.UpstreamId, now: float) -> float:
+    def remaining(self, upstream: ids.UpstreamId, now: float) -> float:
         """Return the seconds that are left of a pause; 0 if there is none."""
         return max(0.0, self._until.get(upstream, 0.0) - now)
 
--- a/galenahatch/core/pools.py
+++ b/galenahatch/core/pools.py
@@ -20,7 +20,7 @@
 from galenahatch import ids
 from galenahatch import schema
 
-HEALTH_EVERY: typing.Final = 0.1
+HEALTH_INTERVAL_S: typing.Final = 0.1
 _Pooled = typing.TypeVar(
     '_Pooled', engines.PrefillEngine, engines.DecodeEngine
 )
@@ -81,36 +81,36 @@
         """Return an engine of either role."""
         return self._prefills.get(name) or self._decodes.get(name)
 
-    def working_prefills(self) -> list[engines.PrefillEngine]:
+    def healthy_prefills(self) -> list[engines.PrefillEngine]:
         """Return the prefill engines whose time can be counted on."""
         return _working(self.prefills)
 
-    def working_decodes(self) -> list[engines.DecodeEngine]:
+    def healthy_decodes(self) -> list[engines.DecodeEngine]:
         """Return the decode engines whose places can be counted on."""
         return _working(self.decodes)
 
-    def idle_at(self, now: float) -> float:
+    def first_idle_at(self, now: float) -> float:
         """Return when the first prefill engine is idle, whichever it is."""
         idle = (engine.starts_at(now) for engine in self.prefills)
         return min(idle, default=now)
 
-    def note_pace(
+    def record_token_interval(
         self, decode: engines.DecodeEngine, seconds: float, target: float
     ) -> None:
         """Note a time between tokens of one engine."""
         occupancy = decode.reserved / decode.places
-        decode.paced(seconds, target, occupancy)
+        decode.record_token_interval(seconds, target, occupancy)
         peers = [other.seconds_per_token for other in self.decodes]
-        decode.health.paced(seconds, peers)
+        decode.health.record_token_interval(seconds, peers)
 
-    def unprobed(self) -> None:
+    def expect_no_load_reports(self) -> None:
         """Expect no load reports: this owner no longer asks for them."""
         for engine in self._all():
-            engine.health.unprobed()
+            engine.health.expect_no_reports()
 
     def update_health(self, now: float) -> None:
         """Eject and re-admit engines, at most half of a pool out."""
-        if now - self._health_at < HEALTH_EVERY:
+        if now - self._health_at < HEALTH_INTERVAL_S:
             return
         self._health_at = now
         _update(self.prefills, now)
@@ -151,7 +151,7 @@
 def _update(pool: collections.abc.Sequence[_Pooled], now: float) -> None:
     out = sum(engine.health.state is not health.Health.GOOD for engine in pool)
     for engine in pool:
-        may_eject = (out + 1) / len(pool) <= health.EJECTED_SHARE
+        may_eject = (out + 1) / len(pool) <= health.MAX_EJECTED_SHARE
         before = engine.health.state
         after = engine.health.update(now, may_eject)
         if before is health.Health.GOOD and after is not before:
--- a/galenahatch/core/promises.py
+++ b/galenahatch/core/promises.py
@@ -25,11 +25,11 @@
 
 from galenahatch import states
 
-GRACE: typing.Final = 5.0
+GRACE_S: typing.Final = 5.0
 """Seconds for which a promise is kept after its time."""
-EARLY: typing.Final = 0.5
+EARLY_S: typing.Final = 0.5
 """Seconds by which a caller may be early."""
-MOST: typing.Final = 5000
+MAX_TICKETS: typing.Final = 5000
 _SHARE: typing.Final = 0.5
 """Share of the cell's intake that is promised at most."""
 
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Promise:
+class Ticket:
     """Room promised for one request."""
 
     due: float
@@ -46,18 +46,18 @@
     urgency: states.Urgency
 
 
-class Promises:
+class Tickets:
     """Outstanding promises; times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self._due: dict[str, Promise] = {}
+        self._due: dict[str, Ticket] = {}
         self._last_due = 0.0
         self._redeemed = 0.0
 
     def __len__(self) -> int:
         return len(self._due)
 
-    def give(
+    def issue(
         self,
         ticket: str,
         wait: float,
@@ -78,23 +78,25 @@
         """
         self._forget(now)
         due = max(now + wait, self._last_due + 1 / (rate * _SHARE))
-        if len(self._due) < MOST:
-            self._due[ticket] = Promise(due, cost, urgency)
+        if len(self._due) < MAX_TICKETS:
+            self._due[ticket] = Ticket(due, cost, urgency)
             self._last_due = due
         return due - now
 
     def redeem(self, ticket: str, now: float) -> bool:
         """Return whether a ticket is good now; it is used up then."""
         promise = self._due.get(ticket)
-        if promise is None or now < promise.due - EARLY:
+        if promise is None or now < promise.due - EARLY_S:
             return False
         del self._due[ticket]
-        if now > promise.due + GRACE:
+        if now > promise.due + GRACE_S:
             return False
         self._note(1.0)
         return True
 
-    def owed(self, until: float, urgency: states.Urgency, now: float) -> float:
+    def promised_work(
+        self, until: float, urgency: states.Urgency, now: float
+    ) -> float:
         """Return the prefill seconds that come before a new request.
 
         Args:
@@ -105,7 +107,7 @@
         promised = sum(
             promise.cost
             for promise in self._due.values()
-            if now - GRACE <= promise.due <= until
+            if now - GRACE_S <= promise.due <= until
             and promise.urgency <= urgency
         )
         return promised * self._redeemed
@@ -116,7 +118,7 @@
     def _forget(self, now: float) -> None:
         """Forget the promises that lapsed; they are in order of time."""
         for ticket, promise in list(self._due.items()):
-            if promise.due + GRACE >= now:
+            if promise.due + GRACE_S >= now:
                 return
             del self._due[ticket]
             self._note(0.0)
--- a/galenahatch/core/reservations.py
+++ b/galenahatch/core/reservations.py
@@ -27,7 +27,7 @@
 from galenahatch import messages
 from galenahatch import states
 
-CONFIRM_WITHIN: typing.Final = 30.0
+CONFIRM_TIMEOUT_S: typing.Final = 30.0
 """Seconds after which a reservation without a sign lapses."""
 _LAPSE_EVERY: typing.Final = 1.0
 
@@ -45,7 +45,7 @@
     blocks: tuple[int, ...]
     stage: states.Stage
     placed_at: float
-    seen_at: float
+    confirmed_at: float
 
 
 class Reservations:
@@ -57,7 +57,7 @@
     """
 
     def __init__(
-        self, engines_of: pools.Pools, predicted: waits.Waits
+        self, engines_of: pools.Pools, predicted: waits.WaitEstimator
     ) -> None:
         self._pools = engines_of
         self._waits = predicted
@@ -65,7 +65,7 @@
         self._lapsed_at = 0.0
 
     @property
-    def held(self) -> collections.abc.Mapping[ids.StreamId, Reservation]:
+    def by_stream(self) -> collections.abc.Mapping[ids.StreamId, Reservation]:
         """Reservations by stream."""
         return self._held
 
@@ -73,18 +73,22 @@
         """Return a reservation."""
         return self._held.get(stream)
 
-    def place(
+    def reserve(
         self, request: messages.PlaceRequest, pair: pairing.Pair, now: float
     ) -> None:
         """Reserve a pair of engines, and their links."""
         stream = request.stream
-        stay = self._waits.stay(
-            pair.decode, request.output_tokens, pair.arrives_at
+        stay = self._waits.estimate_hold(
+            pair.decode, request.output_tokens, pair.transfer_ends_at
         )
         pair.prefill.add(stream, pair.cost, now)
         pair.decode.add(stream, stay)
-        pair.prefill.link.reserve(pair.sent_at, pair.arrives_at, now)
-        pair.decode.link.reserve(pair.sent_at, pair.arrives_at, now)
+        pair.prefill.link.reserve(
+            pair.transfer_starts_at, pair.transfer_ends_at, now
+        )
+        pair.decode.link.reserve(
+            pair.transfer_starts_at, pair.transfer_ends_at, now
+        )
         self._held[stream] = Reservation(
             stream=stream,
             entry=request.entry,
@@ -95,37 +99,37 @@
             blocks=request.blocks,
             stage=states.Stage.PREFILL,
             placed_at=now,
-            seen_at=now,
+            confirmed_at=now,
         )
 
-    def take(self, stream: ids.StreamId, now: float) -> Reservation | None:
+    def release(self, stream: ids.StreamId, now: float) -> Reservation | None:
         """Free what an attempt held, and return what that was."""
         reservation = self._held.pop(stream, None)
         if reservation is not None:
             self._free(reservation, now)
         return reservation
 
-    def forget_entry(self, entry: ids.MemberId, now: float) -> None:
+    def release_entry(self, entry: ids.MemberId, now: float) -> None:
         """Free everything of an entry."""
         for stream, reservation in list(self._held.items()):
             if reservation.entry == entry:
-                self.take(stream, now)
+                self.release(stream, now)
 
-    def rebuild(self, report: messages.HeldReport, now: float) -> None:
+    def reconcile(self, report: messages.HeldReport, now: float) -> None:
         """Take an entry's complete report: add, confirm and drop."""
         reported = {one.stream: one for one in report.held}
         for stream, reservation in list(self._held.items()):
             if reservation.entry != report.entry:
                 continue
             if stream in reported:
-                reservation.seen_at = now
-            elif now - reservation.placed_at > CONFIRM_WITHIN / 2:
-                self.take(stream, now)
+                reservation.confirmed_at = now
+            elif now - reservation.placed_at > CONFIRM_TIMEOUT_S / 2:
+                self.release(stream, now)
         for one in report.held:
             if one.stream not in self._held:
                 self._adopt(report.entry, one, now)
 
-    def lapse(self, now: float) -> list[ids.StreamId]:
+    def expire(self, now: float) -> list[ids.StreamId]:
         """Drop reservations without a sign of their entry."""
         if now - self._lapsed_at < _LAPSE_EVERY:
             return []
@@ -133,23 +137,23 @@
         lapsed = [
             stream
             for stream, reservation in self._held.items()
-            if now - reservation.seen_at > CONFIRM_WITHIN
+            if now - reservation.confirmed_at > CONFIRM_TIMEOUT_S
         ]
         for stream in lapsed:
-            self.take(stream, now)
+            self.release(stream, now)
         return lapsed
 
     def _free(self, reservation: Reservation, now: float) -> None:
         prefill = self._pools.prefill(reservation.prefill)
         if prefill is not None:
-            prefill.drop(reservation.stream, now)
-            if prefill.trial == reservation.stream:
-                prefill.trial = None
+            prefill.release(reservation.stream, now)
+            if prefill.trial_stream == reservation.stream:
+                prefill.trial_stream = None
         decode = self._pools.decode(reservation.decode)
         if decode is not None:
-            decode.drop(reservation.stream)
-            if decode.trial == reservation.stream:
-                decode.trial = None
+            decode.release(reservation.stream)
+            if decode.trial_stream == reservation.stream:
+                decode.trial_stream = None
 
     def _adopt(
         self, entry: ids.MemberId, one: messages.Held, now: float
@@ -159,7 +163,7 @@
         decode = self._pools.decode(one.decode)
         if decode is None:
             return
-        stay = self._waits.stay(decode, one.output_tokens, now)
+        stay = self._waits.estimate_hold(decode, one.output_tokens, now)
         decode.add(one.stream, stay)
         if prefill is not None and one.stage is states.Stage.PREFILL:
             prefill.add(one.stream, prefill.cost(one.prompt_tokens), now)
@@ -173,5 +177,5 @@
             blocks=(),
             stage=one.stage,
             placed_at=now,
-            seen_at=now,
+            confirmed_at=now,
         )
--- a/galenahatch/core/restores.py
+++ b/galenahatch/core/restores.py
@@ -31,7 +31,7 @@
 import dataclasses
 import typing
 
-KEPT: typing.Final = 2.0
+RETENTION_S: typing.Final = 2.0
 """Seconds within which the platform promises that upstreams which live have
 written their entries again."""
 _HEARTBEATS: typing.Final = 3
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Known:
+class KnownEntry:
     """What is known of an entry.
 
     Attributes:
@@ -49,11 +49,11 @@
     """
 
     number: int
-    gone: bool
-    since: int = 0
+    is_gone: bool
+    appeared_at: int = 0
 
 
-class Unsettled:
+class RestoreReconciler:
     """Entries of a restored list that are not believed yet.
 
     Args:
@@ -61,25 +61,25 @@
     """
 
     def __init__(self, heartbeat: float) -> None:
-        self._doubt = KEPT + _HEARTBEATS * heartbeat
+        self._doubt = RETENTION_S + _HEARTBEATS * heartbeat
         # Up to which number an entry is doubted, and until when.
         self._doubted: dict[str, tuple[int, float]] = {}
         # Number at which an entry appeared, and until when it counts.
         self._kept: dict[str, tuple[int, float]] = {}
 
     @property
-    def is_empty(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether all is believed as it is listed."""
         return not self._doubted and not self._kept
 
     @property
-    def kept(self) -> collections.abc.Set[str]:
+    def retained(self) -> collections.abc.Set[str]:
         """Entries that count though they are not listed."""
         return self._kept.keys()
 
-    def restored(
+    def reconcile(
         self,
-        before: collections.abc.Mapping[str, Known],
+        before: collections.abc.Mapping[str, KnownEntry],
         listed: collections.abc.Mapping[str, int],
         newest: int,
         now: float,
@@ -94,33 +94,43 @@
         """
         known = {
             **before,
-            **{key: Known(n, False, n) for key, (n, _) in self._kept.items()},
-            **{key: Known(n, True) for key, (n, _) in self._doubted.items()},
+            **{
+                key: KnownEntry(n, False, n)
+                for key, (n, _) in self._kept.items()
+            },
+            **{
+                key: KnownEntry(n, True)
+                for key, (n, _) in self._doubted.items()
+            },
         }
         self._doubted = {
             key: (known[key].number, now + self._doubt)
             for key, number in listed.items()
-            if key in known and known[key].gone and number <= known[key].number
+            if key in known
+            and known[key].is_gone
+            and number <= known[key].number
         }
         self._kept = {
-            key: (entry.since, now + KEPT)
+            key: (entry.appeared_at, now + RETENTION_S)
             for key, entry in known.items()
-            if key not in listed and not entry.gone and entry.since > newest
+            if key not in listed
+            and not entry.is_gone
+            and entry.appeared_at > newest
         }
 
-    def doubts(self, key: str, number: int) -> bool:
+    def is_suspect(self, key: str, number: int) -> bool:
         """Return whether an entry of a list is not to be used yet."""
         return key in self._doubted and number <= self._doubted[key][0]
 
-    def changed(self, key: str) -> None:
+    def record_change(self, key: str) -> None:
         """Note that a change of an entry was seen."""
         self._doubted.pop(key, None)
         self._kept.pop(key, None)
 
-    def settle(self, now: float) -> tuple[list[str], list[str]]:
+    def expire(self, now: float) -> tuple[list[str], list[str]]:
         """Return entries that are no longer doubted, or no longer kept."""
         believed = [k for k, (_, at) in self._doubted.items() if at <= now]
         lost = [key for key, (_, at) in self._kept.items() if at <= now]
         for key in believed + lost:
-            self.changed(key)
+            self.record_change(key)
         return believed, lost
--- a/galenahatch/core/retry.py
+++ b/galenahatch/core/retry.py
@@ -20,9 +20,9 @@
 import random
 import typing
 
-RESERVE: typing.Final = 10.0
-FIRST_BACKOFF: typing.Final = 0.025
-LONGEST_BACKOFF: typing.Final = 1.0
+BUDGET_RESERVE: typing.Final = 10.0
+INITIAL_BACKOFF_S: typing.Final = 0.025
+MAX_BACKOFF_S: typing.Final = 1.0
 
 
 class RetryBudget:
@@ -34,11 +34,11 @@
 
     def __init__(self, share: float) -> None:
         self._share = share
-        self._left = RESERVE
+        self._left = BUDGET_RESERVE
 
     def earn(self) -> None:
         """Note a request that succeeded."""
-        self._left = min(RESERVE, self._left + self._share)
+        self._left = min(BUDGET_RESERVE, self._left + self._share)
 
     def spend(self) -> bool:
         """Take one retry; return False when none is left."""
@@ -55,5 +55,5 @@
         attempt: number of the failed attempt, from 1.
         random_source: where the jitter comes from.
     """
-    longest = min(LONGEST_BACKOFF, FIRST_BACKOFF * 2 ** min(attempt, 10))
-    return random_source.uniform(FIRST_BACKOFF / 2, longest)
+    longest = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10))
+    return random_source.uniform(INITIAL_BACKOFF_S / 2, longest)
--- a/galenahatch/core/revision.py
+++ b/galenahatch/core/revision.py
@@ -70,7 +70,7 @@
     return f'config/{digest}'
 
 
-def digest_of(body: bytes) -> str:
+def bundle_digest(body: bytes) -> str:
     """Return the digest of an encoded bundle."""
     return hashlib.sha256(body).hexdigest()
 
@@ -90,14 +90,14 @@
     accepted = _decode(_ACCEPTED, data)
     if isinstance(accepted, errors.Failure):
         return accepted
-    if digest_of(encode(accepted.bundle)) != accepted.head.digest:
+    if bundle_digest(encode(accepted.bundle)) != accepted.head.digest:
         return errors.Failure(errors.BAD_FRAME, 'digest of the bundle')
     return accepted
 
 
 def decode_bundle(data: bytes, digest: str) -> schema.Bundle | errors.Failure:
     """Return the bundle of some bytes if they have this digest."""
-    if digest_of(data) != digest:
+    if bundle_digest(data) != digest:
         return errors.Failure(errors.BAD_FRAME, 'digest of the bundle')
     return _decode(_BUNDLE, data)
 
@@ -114,7 +114,7 @@
         return errors.Failure(errors.BAD_FRAME, str(error))
 
 
-class InForce:
+class ActiveConfiguration:
     """The configuration that a daemon works with."""
 
     def __init__(self) -> None:
@@ -140,7 +140,7 @@
         """Its merged configuration by site."""
         return self._sites
 
-    def offer(
+    def apply_if_newer(
         self, accepted: Accepted, sites: dict[str, schema.Config] | None
     ) -> bool:
         """Take a configuration if it is newer; return whether it was.
@@ -166,13 +166,13 @@
                 self._engines.setdefault(engine.name, engine)
         return True
 
-    def site(self, data_centre: ids.DataCentre) -> schema.Site | None:
+    def site_of(self, data_centre: ids.DataCentre) -> schema.Site | None:
         """Return the site of a data centre."""
         return self._site_of.get(data_centre)
 
-    def at(self, data_centre: ids.DataCentre) -> schema.Config | None:
+    def config_of(self, data_centre: ids.DataCentre) -> schema.Config | None:
         """Return the configuration of the site of a data centre."""
-        site = self.site(data_centre)
+        site = self.site_of(data_centre)
         return self._sites.get(site.name) if site else None
 
     def engine(self, name: ids.EngineName) -> schema.Engine | None:
--- a/galenahatch/core/routes.py
+++ b/galenahatch/core/routes.py
@@ -65,17 +65,17 @@
     prefix: str
     kind: Kind
     timeout: float
-    objective: float
+    latency_objective: float
     priority: int
     targets: tuple[Target, ...]
     max_attempts: int
     resumable: bool = False
     generative: bool = False
-    longest_pause: float = 1.0
-    anonymous: bool = False
+    max_event_gap: float = 1.0
+    allows_anonymous: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether a request may run more than once."""
         return self.kind is Kind.IDEMPOTENT or self.resumable
 
@@ -95,8 +95,8 @@
     slots: int
     kv_tokens: int
     handle_ttl: float
-    switch: float
-    stride: int
+    switch_time: float
+    event_tokens: int
 
 
 @dataclasses.dataclass(frozen=True)
@@ -118,8 +118,8 @@
 class Limits:
     """What a caller may send, and how long it may take; bytes, seconds."""
 
-    header_bytes: int = 16384
-    body_bytes: int = 4 * 1024 * 1024
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 4 * 1024 * 1024
     header_timeout: float = 3.0
     idle_timeout: float = 15.0
 
--- a/galenahatch/core/upstreams.py
+++ b/galenahatch/core/upstreams.py
@@ -36,7 +36,7 @@
 from galenahatch.core import incarnations
 from galenahatch import ids
 
-LAPSE_GRACE: typing.Final = 1.8
+LAPSE_GRACE_S: typing.Final = 1.8
 """Seconds for which a service that vanished whole is still used, if the
 bound on leaving upstreams allows it: lapsed entries are promised back within
 about two seconds."""
@@ -85,7 +85,7 @@
     """
 
     def __init__(self, drain: float = 2.0) -> None:
-        self._grace = min(LAPSE_GRACE, _DRAIN_SHARE * drain)
+        self._grace = min(LAPSE_GRACE_S, _DRAIN_SHARE * drain)
         self._known: dict[ids.UpstreamId, Upstream] = {}
         self._removed: dict[ids.UpstreamId, tuple[float, Upstream]] = {}
         self._left: dict[ids.UpstreamId, float] = {}
@@ -93,23 +93,26 @@
         self._latest: dict[ids.InstanceId, tuple[ids.UpstreamId, float]] = {}
 
     @property
-    def known(self) -> typing.Mapping[ids.UpstreamId, Upstream]:
+    def upstreams(self) -> typing.Mapping[ids.UpstreamId, Upstream]:
         """Upstreams by id."""
         return self._known
 
-    def latest(self, instance: ids.InstanceId) -> ids.UpstreamId | None:
+    def latest_start(self, instance: ids.InstanceId) -> ids.UpstreamId | None:
         """Return the latest start of an instance that was heard of."""
         found = self._latest.get(instance)
         return found[0] if found is not None else None
 
-    def put(self, upstream: Upstream, now: float) -> bool:
+    def register(self, upstream: Upstream, now: float) -> bool:
         """Take an entry; return whether it changed anything."""
-        instance = incarnations.instance(upstream.id)
-        latest = self.latest(instance)
+        instance = incarnations.instance_id(upstream.id)
+        latest = self.latest_start(instance)
         if latest is not None:
-            if incarnations.born(upstream.id) == incarnations.UNKNOWN:
+            if (
+                incarnations.started_ms(upstream.id)
+                == incarnations.UNKNOWN_START
+            ):
                 upstream = dataclasses.replace(upstream, id=latest)
-            elif incarnations.is_later(latest, upstream.id):
+            elif incarnations.is_later_start(latest, upstream.id):
                 return False
             elif latest != upstream.id:
                 self._forget(latest)
@@ -125,7 +128,7 @@
         self._known[upstream.id] = upstream
         return before != upstream
 
-    def told_leaving(self, upstream: ids.UpstreamId, now: float) -> bool:
+    def mark_leaving(self, upstream: ids.UpstreamId, now: float) -> bool:
         """Take from an upstream itself that it leaves.
 
         Returns:
@@ -143,7 +146,7 @@
             self._removed[upstream] = removed[0], gone
         return True
 
-    def restarted(
+    def record_restart(
         self,
         upstream: ids.UpstreamId,
         born: int,
@@ -167,17 +170,17 @@
         before = self._known.get(upstream)
         if before is None or before.leaving:
             return None
-        instance = incarnations.instance(upstream)
-        later = incarnations.incarnation(instance, born)
-        if not incarnations.is_later(later, upstream):
+        instance = incarnations.instance_id(upstream)
+        later = incarnations.upstream_id(instance, born)
+        if not incarnations.is_later_start(later, upstream):
             return None
         started = dataclasses.replace(before, id=later, stage=stage)
-        self.put(started, now)
+        self.register(started, now)
         return started
 
     def remove(self, instance: ids.InstanceId, now: float) -> bool:
         """Take the news that an entry is gone."""
-        latest = self.latest(instance)
+        latest = self.latest_start(instance)
         gone = self._known.pop(latest, None) if latest is not None else None
         if gone is None:
             return False
@@ -186,27 +189,27 @@
         self._forget_old(now)
         return True
 
-    def withdraw(self, instance: ids.InstanceId, now: float) -> bool:
+    def remove_unusable(self, instance: ids.InstanceId, now: float) -> bool:
         """Take the news that an entry names no upstream that can be used."""
         was_known = self.remove(instance, now)
-        latest = self.latest(instance)
+        latest = self.latest_start(instance)
         if latest is not None:
             self._removed.pop(latest, None)
         return was_known
 
-    def replace(
+    def replace_all(
         self,
         entries: typing.Iterable[Upstream],
         now: float,
         kept: collections.abc.Set[str] = frozenset(),
     ) -> None:
         """Take the whole list: what is not in it is gone, or is kept."""
-        current = {incarnations.instance(e.id): e for e in entries}
-        present = {incarnations.instance(key) for key in self._known}
+        current = {incarnations.instance_id(e.id): e for e in entries}
+        present = {incarnations.instance_id(key) for key in self._known}
         for missing in present - current.keys() - kept:
             self.remove(missing, now)
         for entry in current.values():
-            self.put(entry, now)
+            self.register(entry, now)
 
     def usable(self, service: ids.ServiceName, now: float) -> list[Upstream]:
         """Return the upstreams of a service that take new work."""
@@ -224,7 +227,7 @@
             return self._removed[upstream][1]
         return found or self._ahead(upstream)
 
-    def takes_work(self, upstream: ids.UpstreamId, now: float) -> bool:
+    def accepts_work(self, upstream: ids.UpstreamId, now: float) -> bool:
         """Return whether an upstream may be sent new work."""
         if upstream in self._left:
             return False
@@ -246,10 +249,10 @@
         The owner reads an engine's report before the engine's entry is
         written again, and places runs on the start that it found there.
         """
-        latest = self.latest(incarnations.instance(upstream))
+        latest = self.latest_start(incarnations.instance_id(upstream))
         if latest is None or latest not in self._known:
             return None
-        if not incarnations.is_later(upstream, latest):
+        if not incarnations.is_later_start(upstream, latest):
             return None
         return dataclasses.replace(self._known[latest], id=upstream)
 
--- a/galenahatch/core/versions.py
+++ b/galenahatch/core/versions.py
@@ -32,7 +32,7 @@
     number: int
 
 
-NEVER: typing.Final = Version(0, -1)
+OLDEST: typing.Final = Version(0, -1)
 """Older than all versions."""
 
 
@@ -43,4 +43,4 @@
         before: known until now; `NEVER` if nothing was known.
         after: of the news.
     """
-    return before != NEVER and before.era < after.era
+    return before != OLDEST and before.era < after.era
--- a/galenahatch/core/waits.py
+++ b/galenahatch/core/waits.py
@@ -22,7 +22,7 @@
 _LEAST_COST: typing.Final = 1e-4
 
 
-class Waits:
+class WaitEstimator:
     """Averages of how long requests hold places, and what follows.
 
     Args:
@@ -34,7 +34,9 @@
         self._length_share = _FIRST_LENGTH_SHARE
         self._hold_seconds = 0.0
 
-    def learn(self, tokens: int, allowed: int, held: float) -> None:
+    def record_completion(
+        self, tokens: int, allowed: int, held: float
+    ) -> None:
         """Note an attempt that ended well.
 
         Args:
@@ -47,12 +49,12 @@
         before = self._hold_seconds or held
         self._hold_seconds = engines.smooth(before, held)
 
-    def cost(self, tokens: int) -> float:
+    def prefill_cost(self, tokens: int) -> float:
         """Return the seconds of a prefill on the fastest engine."""
         costs = (engine.cost(tokens) for engine in self._pools.prefills)
         return min(costs, default=0.0)
 
-    def after_prefill(self, tokens: int) -> float:
+    def min_first_token_delay(self, tokens: int) -> float:
         """Return the least seconds from a prefill to the first token."""
         if not self._pools.prefills:
             return 0.0
@@ -61,21 +63,21 @@
         paces = (d.seconds_per_token for d in self._pools.decodes)
         return size / settings.link_bytes_per_second + min(paces, default=0.0)
 
-    def stay(
+    def estimate_hold(
         self, decode: engines.DecodeEngine, output_tokens: int, since: float
-    ) -> engines.Stay:
+    ) -> engines.HoldEstimate:
         """Predict how long a request holds a place from some time on."""
         longest = max(1, output_tokens) * decode.seconds_per_token
         usual = longest * self._length_share
-        return engines.Stay(since + usual, since + longest)
+        return engines.HoldEstimate(since + usual, since + longest)
 
-    def release_rate(self) -> float:
+    def admission_rate(self) -> float:
         """Return how many requests a second the cell can take in."""
-        working = self._pools.working_decodes()
+        working = self._pools.healthy_decodes()
         places = sum(decode.places for decode in working)
         return max(_LEAST_RATE, places / (self._hold_seconds or 1.0))
 
-    def expected(
+    def expected_prefill_wait(
         self,
         cost: float,
         ahead: float,
@@ -92,7 +94,7 @@
             waste_weight: see schema.ModelService.
             now: monotonic seconds.
         """
-        working = self._pools.working_prefills()
+        working = self._pools.healthy_prefills()
         idle = [engine.starts_at(now) - now for engine in working]
         prefill_wait = min(idle, default=0.0) + ahead / max(1, len(idle))
         before = min(ahead / max(cost, _LEAST_COST), queued)
@@ -103,12 +105,12 @@
         self, cost: float, before: float, waste_weight: float, now: float
     ) -> float:
         """Return the predicted wait for a decode place."""
-        working = self._pools.working_decodes()
+        working = self._pools.healthy_decodes()
         free = sum(max(0, d.places - d.reserved) for d in working)
         behind = before - free
         if behind < 0:
             return 0.0
-        rate = self.release_rate()
+        rate = self.admission_rate()
         soonest = now + 1 / rate
         for decode in working:
             soonest = min(soonest, decode.free_at(now))
--- a/galenahatch/core/watch.py
+++ b/galenahatch/core/watch.py
@@ -27,7 +27,7 @@
 from galenahatch import ids
 from galenahatch import messages
 
-CONFIRM_WAIT: typing.Final = 0.5
+CONFIRM_TIMEOUT_S: typing.Final = 0.5
 """Seconds for which a second member's answer is waited for."""
 
 
@@ -39,7 +39,7 @@
     confirmed: bool = False
 
 
-class Watch:
+class StreamWatch:
     """Streams by entry."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
             self._entries[entry].streams[one.stream] = one
         return orphans
 
-    def replace(self, report: messages.HeldReport) -> list[messages.Held]:
+    def apply_report(self, report: messages.HeldReport) -> list[messages.Held]:
         """Take a complete report; return orphans of an earlier one."""
         orphans = self._renew(report.entry, report.incarnation)
         streams = {one.stream: one for one in (*report.held, *report.watched)}
@@ -70,12 +70,12 @@
         if state is not None:
             state.streams.pop(stream, None)
 
-    def forget(self, stream: ids.StreamId) -> None:
+    def remove_stream(self, stream: ids.StreamId) -> None:
         """Forget a stream that ended, whosever it was."""
         for state in self._entries.values():
             state.streams.pop(stream, None)
 
-    def heard(
+    def record_heartbeat(
         self, entry: ids.MemberId, incarnation: int
     ) -> list[messages.Held]:
         """Note a sign of life; return orphans of an earlier incarnation."""
@@ -87,7 +87,7 @@
         self._entries[entry].confirmed = False
         return orphans
 
-    def to_confirm(
+    def entries_to_confirm(
         self, silent: collections.abc.Iterable[ids.MemberId], now: float
     ) -> list[ids.MemberId]:
         """Return silent entries to ask a second member about."""
@@ -97,14 +97,14 @@
             if state is None or not state.streams:
                 continue
             waited = state.asked_at is not None and (
-                now - state.asked_at < CONFIRM_WAIT
+                now - state.asked_at < CONFIRM_TIMEOUT_S
             )
             if not state.confirmed and not waited:
                 state.asked_at = now
                 asked.append(entry)
         return asked
 
-    def confirm(self, entry: ids.MemberId) -> list[messages.Held]:
+    def confirm_gone(self, entry: ids.MemberId) -> list[messages.Held]:
         """Return the streams to cancel: the entry is taken for gone."""
         state = self._entries.get(entry)
         if state is None:
--- a/galenahatch/course.py
+++ b/galenahatch/course.py
@@ -77,13 +77,13 @@
         self._sink = sink
         self._may_send = may_send
         self._once = asked.headers.non_idempotent
-        self._assembly = assembly.Assembly()
+        self._assembly = assembly.AnswerAssembler()
         self._avoid: list[ids.EngineName] = []
         self._sent = False
         self._allowed = False
         self._unclear: errors.Failure | None = None
         self._arrived_at = clock.now()
-        self._blocks = cache.blocks_of(asked.prompt)
+        self._blocks = cache.hash_blocks(asked.prompt)
 
     @property
     def maybe_started(self) -> bool:
@@ -98,7 +98,7 @@
     @property
     def finish(self) -> str:
         """Why generation ended."""
-        return self._assembly.finish
+        return self._assembly.finish_reason
 
     @property
     def tokens(self) -> int:
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -62,7 +62,7 @@
         self._table = tables
         self._objects = stored
         self._owner = owner
-        self.in_force = revision_module.InForce()
+        self.in_force = revision_module.ActiveConfiguration()
         self._listeners: list[Listener] = []
         self._ask: Asker | None = None
 
@@ -78,16 +78,16 @@
 
     def mine(self) -> schema.Config | None:
         """Return the configuration of this daemon's site."""
-        return self.in_force.at(self._options.data_centre)
+        return self.in_force.config_of(self._options.data_centre)
 
     def region_of(self, centre: ids.DataCentre) -> ids.RegionName | None:
         """Return the region of a data centre; None if not known."""
-        site = self.in_force.site(centre)
+        site = self.in_force.site_of(centre)
         return site.region if site else None
 
     def site(self) -> schema.Site | None:
         """Return the site of this daemon."""
-        return self.in_force.site(self._options.data_centre)
+        return self.in_force.site_of(self._options.data_centre)
 
     def engine(self, name: ids.EngineName) -> schema.Engine | None:
         """Return an engine of any site."""
@@ -168,7 +168,7 @@
             return
         # Parsing takes long at the planned size; streams go on meanwhile.
         sites = await asyncio.to_thread(config.load, accepted.bundle)
-        if not self.in_force.offer(accepted, sites):
+        if not self.in_force.apply_if_newer(accepted, sites):
             return
         _log.info(
             'Configuration in force.',
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -51,7 +51,7 @@
     def __init__(self, options: options_module.Options) -> None:
         super().__init__(options)
         self._budgets: dict[ids.ServiceName, retry.RetryBudget] = {}
-        self._leaving = leaving_module.Leaving()
+        self._leaving = leaving_module.LeavingUpstreams()
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
@@ -151,10 +151,12 @@
 
     def _reconfigured(self) -> None:
         self._placing.replan()
-        self._leaving.configured(self.config.revision, self.config.draining())
+        self._leaving.record_configuration(
+            self.config.revision, self.config.draining()
+        )
 
     def _listed(self, listed: vms.VmList) -> None:
-        self._leaving.listed(
+        self._leaving.record_vm_list(
             listed.version,
             (vm.address for vm in listed.vms if vm.state != 'live'),
         )
--- a/galenahatch/gateway/connections.py
+++ b/galenahatch/gateway/connections.py
@@ -102,8 +102,8 @@
             loop=self._loop,
             keepalive_timeout=limits.idle_timeout,
             access_log=typing.cast(typing.Any, None),
-            max_line_size=limits.header_bytes,
-            max_field_size=limits.header_bytes,
+            max_line_size=limits.max_header_bytes,
+            max_field_size=limits.max_header_bytes,
             auto_decompress=False,
         )
 
--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -96,7 +96,7 @@
         """Whether requests can be routed."""
         return (
             self.config is not None
-            and self.upstreams_version != versions.NEVER
+            and self.upstreams_version != versions.OLDEST
         )
 
     @property
@@ -144,7 +144,9 @@
         Returns:
             The later start, if it is one that takes work.
         """
-        later = self.registry.restarted(upstream, born, stage, clock.now())
+        later = self.registry.record_restart(
+            upstream, born, stage, clock.now()
+        )
         if later is not None:
             self.entries.note_start(later.id, upstream, 'report')
             self._changed()
@@ -152,7 +154,7 @@
 
     def told_leaving(self, upstream: ids.UpstreamId) -> bool:
         """Take that an upstream said so itself; return whether it is news."""
-        if not self.registry.told_leaving(upstream, clock.now()):
+        if not self.registry.mark_leaving(upstream, clock.now()):
             return False
         self._changed()
         return True
--- a/galenahatch/gateway/entries.py
+++ b/galenahatch/gateway/entries.py
@@ -78,11 +78,11 @@
         self.on_start: Started = lambda upstream: None
         self._rows: dict[str, _Entry] = {}
         self._unusable: dict[str, str] = {}
-        self._version = versions.NEVER
+        self._version = versions.OLDEST
         # Version of the first list of the newest era: what was gone before
         # is not known.
-        self._knows_since = versions.NEVER
-        self._unsettled = restores.Unsettled(heartbeat)
+        self._knows_since = versions.OLDEST
+        self._unsettled = restores.RestoreReconciler(heartbeat)
         self._restored = asyncio.Event()
 
     @property
@@ -158,16 +158,20 @@
         for row in rows:
             self._rows[row.key] = _Entry(row.ver, row.value)
         believed = [
-            row for row in rows if not self._unsettled.doubts(row.key, row.ver)
+            row
+            for row in rows
+            if not self._unsettled.is_suspect(row.key, row.ver)
         ]
         for row in believed:
-            self._unsettled.changed(row.key)
+            self._unsettled.record_change(row.key)
         found = [entry for row in believed if (entry := self._usable(row))]
         before = {
-            entry.id: self.registry.latest(incarnations.instance(entry.id))
+            entry.id: self.registry.latest_start(
+                incarnations.instance_id(entry.id)
+            )
             for entry in found
         }
-        self.registry.replace(found, clock.now(), self._unsettled.kept)
+        self.registry.replace_all(found, clock.now(), self._unsettled.retained)
         for key, earlier in before.items():
             self.note_start(key, earlier, 'store')
         _log.info(
@@ -189,7 +193,7 @@
             known = self._rows.get(row.key, _Entry())
             if number < known.number:
                 continue
-            self._unsettled.changed(row.key)
+            self._unsettled.record_change(row.key)
             if row.removed:
                 self._take_removal(row.key, number)
             else:
@@ -213,7 +217,7 @@
                 known=known.number,
             )
             return False
-        if known == versions.NEVER or version.era != known.era:
+        if known == versions.OLDEST or version.era != known.era:
             self._knows_since = version
         self._version = version
         return True
@@ -228,8 +232,8 @@
         entry = self._usable(row)
         if entry is None:
             return
-        earlier = self.registry.latest(ids.InstanceId(row.key))
-        if not self.registry.put(entry, clock.now()):
+        earlier = self.registry.latest_start(ids.InstanceId(row.key))
+        if not self.registry.register(entry, clock.now()):
             return
         self.note_start(entry.id, earlier, 'store')
         _log.info(
@@ -251,7 +255,7 @@
         if self._unusable.get(row.key) != entry.detail:
             self._unusable[row.key] = entry.detail
             _log.error('Bad upstream entry.', detail=entry.detail)
-        if self.registry.withdraw(ids.InstanceId(row.key), clock.now()):
+        if self.registry.remove_unusable(ids.InstanceId(row.key), clock.now()):
             _log.warning('Upstream withdrawn.', upstream=row.key, ver=row.ver)
         return None
 
@@ -262,7 +266,9 @@
         source: str,
     ) -> None:
         """Tell that an upstream has started again, if it has."""
-        if earlier is None or not incarnations.is_later(upstream, earlier):
+        if earlier is None or not incarnations.is_later_start(
+            upstream, earlier
+        ):
             return
         _log.info(
             'Upstream started again.',
@@ -279,7 +285,7 @@
     ) -> None:
         """Find what is known better than the list of a restored store."""
         known = {
-            key: restores.Known(
+            key: restores.KnownEntry(
                 row.number,
                 row.document is None or key in self._unusable,
                 row.since,
@@ -288,15 +294,15 @@
         }
         listed = {row.key: row.ver for row in rows}
         now = clock.now()
-        self._unsettled.restored(known, listed, version.number, now)
-        doubted = sum(self._unsettled.doubts(r.key, r.ver) for r in rows)
+        self._unsettled.reconcile(known, listed, version.number, now)
+        doubted = sum(self._unsettled.is_suspect(r.key, r.ver) for r in rows)
         _log.info(
             'Upstreams of a restored store.',
             era=version.era,
             ver=version.number,
             count=len(rows),
             doubted=doubted,
-            kept=len(self._unsettled.kept),
+            kept=len(self._unsettled.retained),
         )
         self._restored.set()
 
@@ -306,12 +312,12 @@
             await self._restored.wait()
             await asyncio.sleep(_SETTLE_EVERY)
             self.settle()
-            if self._unsettled.is_empty:
+            if self._unsettled.is_settled:
                 self._restored.clear()
 
     def settle(self) -> None:
         """Believe what a restored store has listed for long enough."""
-        believed, lost = self._unsettled.settle(clock.now())
+        believed, lost = self._unsettled.expire(clock.now())
         for key in lost:
             self._take_removal(key, self._rows[key].number)
         for key in believed:
--- a/galenahatch/gateway/follower.py
+++ b/galenahatch/gateway/follower.py
@@ -130,7 +130,7 @@
         self._table = table
         self._take_all = take_all
         self._take_some = take_some
-        self._version = versions.NEVER
+        self._version = versions.OLDEST
         self._away = False
         self._failed_at = 0.0
         self.heard_at = -1e9
@@ -143,7 +143,7 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            while self._version != versions.NEVER and self._idle():
+            while self._version != versions.OLDEST and self._idle():
                 self._outage.answered(self)
                 await asyncio.sleep(_IDLE_CHECK)
             found = await self._read()
@@ -155,7 +155,7 @@
                 await asyncio.sleep(self._gather)
 
     async def _read(self) -> stores.Rows | errors.Failure:
-        if self._version == versions.NEVER:
+        if self._version == versions.OLDEST:
             return await self._read_all()
         # After a failure, ask whether the store is back, and do not wait.
         wait = 0.0 if self._away else FEED_WAIT
@@ -164,7 +164,7 @@
         if isinstance(found, errors.Failure):
             if found.reason is errors.HISTORY_GONE:
                 _log.info('History gone, reading again.', table=self._table)
-                self._version = versions.NEVER
+                self._version = versions.OLDEST
             return found
         if found.era != self._version.era:
             _log.info(
--- a/galenahatch/gateway/front.py
+++ b/galenahatch/gateway/front.py
@@ -183,7 +183,7 @@
             self._in_flight -= 1
 
     async def _body(self, request: web.BaseRequest) -> bytes | errors.Failure:
-        most = self.limits().body_bytes
+        most = self.limits().max_body_bytes
         data = bytearray()
         try:
             async with timeouts.limit(_BODY_TIMEOUT):
@@ -219,8 +219,8 @@
         config = self._means.directory.config
         if config is None or config.customers is None:
             return call
-        customer = customers.identify(
-            config.customers, call.credentials, route.anonymous
+        customer = customers.authenticate(
+            config.customers, call.credentials, route.allows_anonymous
         )
         if isinstance(customer, errors.Failure):
             return customer
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -149,12 +149,12 @@
             if self._means.guard.holds(self._call):
                 return self._held_back()
             most = self._route.max_attempts
-            if not self._sends.may_send(self._route.repeatable, most):
+            if not self._sends.may_send(self._route.is_repeatable, most):
                 break
         return self._failure()
 
     def _wish(self, stream: ids.StreamId, attempt: int) -> ownerships.Wish:
-        made = self._relay.count * self._spec.stride
+        made = self._relay.count * self._spec.event_tokens
         likely = self._prompt.likely_output or 0
         prompt, most = self._sizes()
         return ownerships.Wish(
@@ -163,14 +163,14 @@
             prompt=prompt,
             hint=max(0, likely - made),
             most=most,
-            start_by=self._call.arrived_at + self._route.objective,
+            start_by=self._call.arrived_at + self._route.latency_objective,
             leaves_at=means_module.leaves_at(self._call, self._route),
             deadline=self._end_by,
             subject=self._prompt.subject,
             avoid=tuple(self._avoid),
             going_on=self._relay.has_reached_caller,
             is_read=bool(self._reader.source()),
-            longest_pause=self._route.longest_pause,
+            longest_pause=self._route.max_event_gap,
             attempt=attempt,
             extra=self._reader.extra_sends() + (self._decodes > 0),
             is_suspect=self._means.guard.suspects(self._call),
@@ -181,8 +181,8 @@
 
     def _sizes(self) -> tuple[int, int]:
         """Return the tokens to read now, and those still made at most."""
-        made = self._relay.count * self._spec.stride
-        most = max(self._spec.stride, self._prompt.most_output - made)
+        made = self._relay.count * self._spec.event_tokens
+        most = max(self._spec.event_tokens, self._prompt.most_output - made)
         return self._prompt.tokens + made, most
 
     # One attempt.
@@ -227,7 +227,7 @@
         if paused or self._means.guard.holds(self._call):
             return False
         registry = self._means.directory.registry
-        return registry.takes_work(upstream.id, clock.now())
+        return registry.accepts_work(upstream.id, clock.now())
 
     def _failed(
         self, release: messages.Release, again: prefill.Again
@@ -241,7 +241,7 @@
         )
 
     def _ended(self, release: messages.Release) -> messages.Release:
-        stride = self._spec.stride
+        stride = self._spec.event_tokens
         made = ending.streamed(
             self._call, self._relay, self._spent, stride, self._engine
         )
@@ -300,13 +300,13 @@
 
     def _made(self) -> int:
         """Return the tokens that the present run has made."""
-        return self._relay.run_count * self._spec.stride
+        return self._relay.run_count * self._spec.event_tokens
 
     def _patience(self, left: float) -> float:
         """Return the silence after which a decode engine is given up."""
         if not self._route.resumable:
             return left
-        return min(left, _SILENCE_PAUSES * self._route.longest_pause)
+        return min(left, _SILENCE_PAUSES * self._route.max_event_gap)
 
     def _decode_lost(
         self, engine: upstreams.Upstream, lost: senders.Lost
--- a/galenahatch/gateway/inflight.py
+++ b/galenahatch/gateway/inflight.py
@@ -79,8 +79,8 @@
         over = [
             key
             for key in self._open
-            if incarnations.born(key) != incarnations.UNKNOWN
-            and incarnations.is_later(upstream, key)
+            if incarnations.started_ms(key) != incarnations.UNKNOWN_START
+            and incarnations.is_later_start(upstream, key)
         ]
         now = clock.now()
         self._over = {
--- a/galenahatch/gateway/means.py
+++ b/galenahatch/gateway/means.py
@@ -97,8 +97,8 @@
     """Return the moment at which a caller leaves without a first event."""
     patience = max(
         _LEAST_PATIENCE,
-        _PATIENCE_OBJECTIVES * route.objective,
-        _PATIENCE_PAUSES * route.longest_pause,
+        _PATIENCE_OBJECTIVES * route.latency_objective,
+        _PATIENCE_PAUSES * route.max_event_gap,
     )
     return call.arrived_at + patience
 
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -247,7 +247,7 @@
         while True:
             self._budget.set_members(self._mesh.size)
             self._grants.set_members(self._mesh.size)
-            known = self._directory.registry.known
+            known = self._directory.registry.upstreams
             self._balancer.forget(known)
             self._exchange.forget(known)
             self._rate_limits.forget(known)
--- a/galenahatch/gateway/notices.py
+++ b/galenahatch/gateway/notices.py
@@ -79,12 +79,12 @@
             self._note(upstream, 'Upstream says that it leaves.', head)
             self.tell_owner(messages.Leaving(self.tell()))
         if isinstance(head.pause, float):
-            self.pauses.begin(upstream, head.pause, clock.now())
+            self.pauses.start(upstream, head.pause, clock.now())
             self._note(upstream, 'Pause asked for.', head, seconds=head.pause)
 
     def pause_left(self, upstream: ids.UpstreamId) -> float:
         """Return the seconds for which an upstream wants nothing from here."""
-        return self.pauses.left(upstream, clock.now())
+        return self.pauses.remaining(upstream, clock.now())
 
     def paused(self) -> dict[ids.UpstreamId, float]:
         """Return the seconds that are left of each pause."""
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -157,7 +157,7 @@
         spec = self._directory.service(service)
         if spec is None or spec.engine is None:
             return
-        lost_at = clock.now() + spec.engine.switch + _LOST_AFTER
+        lost_at = clock.now() + spec.engine.switch_time + _LOST_AFTER
         dispatcher.engines.changing(engine.id, stage, lost_at)
         other = self._mesh.hearing()
         if other is not None and not self._directory.hears_store:
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -270,7 +270,9 @@
         registry = self._directory.registry
         now = clock.now()
         leaving = {
-            key for key, upstream in registry.known.items() if upstream.leaving
+            key
+            for key, upstream in registry.upstreams.items()
+            if upstream.leaving
         }
         dispatcher.set_engines(registry.usable(service, now), leaving, now)
 
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -108,7 +108,7 @@
         if means_module.over(self._end_by):
             return False
         if not self._sends.may_send(
-            self._route.repeatable, self._route.max_attempts
+            self._route.is_repeatable, self._route.max_attempts
         ):
             return False
         if not tries:
@@ -126,7 +126,7 @@
                 usable,
                 self._avoid | self._limited.keys() | self._paused.keys(),
                 now,
-                self._route.repeatable,
+                self._route.is_repeatable,
             )
             if chosen is None:
                 break
@@ -151,11 +151,11 @@
     def _takes_work(self, upstream: ids.UpstreamId) -> bool:
         """Return whether an upstream may be sent to after all."""
         registry = self._means.directory.registry
-        return registry.takes_work(upstream, clock.now())
+        return registry.accepts_work(upstream, clock.now())
 
     async def _send(self, upstream: upstreams.Upstream) -> _Attempt:
         left = means_module.left(self._end_by)
-        once = not self._route.repeatable
+        once = not self._route.is_repeatable
         again = self._route.max_attempts > self._sends.ran + 1
         share = _FIRST_SHARE if again and not once else 1.0
         headers = wire.outgoing(
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -120,7 +120,7 @@
         (`extra_sends`).
         """
         now = clock.now()
-        if not self._means.directory.registry.takes_work(engine.id, now):
+        if not self._means.directory.registry.accepts_work(engine.id, now):
             return Again(engine.id, 'prefill engine gone')
         if self._means.notices.pause_left(engine.id):
             return Again(engine.id, 'prefill engine wants a pause')
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -118,7 +118,7 @@
         report: engines.Report,
     ) -> None:
         """Take the report of an engine, of its present start alone."""
-        told = (incarnations.UNKNOWN, incarnations.born(engine))
+        told = (incarnations.UNKNOWN_START, incarnations.started_ms(engine))
         if report.born not in told:
             later = self._directory.restarted(
                 engine, report.born, report.stage
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -111,8 +111,8 @@
         self._dropped = dropped
         self._begin_list = begin_list
         self._others = others
-        self._newest_told = versions.NEVER
-        self._listed = versions.NEVER
+        self._newest_told = versions.OLDEST
+        self._listed = versions.OLDEST
         self._is_lost = asyncio.Event()
         self.members = members.Members(me)
         self.feed = followers.Follower(
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -395,20 +395,20 @@
     if services is not None and one.service not in services:
         standing = 'service not configured'
     return (
-        incarnations.instance(one.id),
+        incarnations.instance_id(one.id),
         one.service,
         one.address,
         one.data_centre,
         one.stage.value if one.stage else '',
         one.slots,
-        _started(incarnations.born(one.id)),
+        _started(incarnations.started_ms(one.id)),
         standing,
     )
 
 
 def _started(born: int) -> str:
     """Return the moment of a start; empty if it is not told."""
-    if born == incarnations.UNKNOWN:
+    if born == incarnations.UNKNOWN_START:
         return ''
     moment = datetime.datetime.fromtimestamp(born / 1000, datetime.UTC)
     return moment.isoformat(timespec='milliseconds')
--- a/galenahatch/news.py
+++ b/galenahatch/news.py
@@ -53,7 +53,7 @@
     """Configuration, owners or leaving engines may have changed."""
 
     revision: ids.Revision
-    plans: collections.abc.Mapping[ids.CellId, cells_module.Plan]
+    plans: collections.abc.Mapping[ids.CellId, cells_module.CellConfig]
     owned: frozenset[ids.CellId]
     leaving: frozenset[ids.EngineName]
 
--- a/galenahatch/orphans.py
+++ b/galenahatch/orphans.py
@@ -52,7 +52,7 @@
         self._peers = peers
         self._canceller = canceller
         self._forget = forget
-        self._watch = watch.Watch()
+        self._watch = watch.StreamWatch()
         # When a second scheduler last said that it hears an entry.
         self._vouched: dict[ids.MemberId, float] = {}
 
@@ -70,7 +70,7 @@
             orphans = self._watch.add(message.entry, message.incarnation, held)
             self._cancel(message.entry, orphans, 'restarted')
         elif isinstance(message, messages.HeldReport):
-            orphans = self._watch.replace(message)
+            orphans = self._watch.apply_report(message)
             self._cancel(message.entry, orphans, 'restarted')
         else:
             self._watch.remove(message.entry, message.stream)
@@ -83,18 +83,20 @@
 
     def ended(self, stream: ids.StreamId) -> None:
         """Forget an attempt whose entry released it."""
-        self._watch.forget(stream)
+        self._watch.remove_stream(stream)
 
     def heard(self, heartbeat: messages.Heartbeat) -> None:
         """Take a heartbeat."""
-        orphans = self._watch.heard(heartbeat.member, heartbeat.incarnation)
+        orphans = self._watch.record_heartbeat(
+            heartbeat.member, heartbeat.incarnation
+        )
         self._cancel(heartbeat.member, orphans, 'restarted')
 
     def answered(self, reply: messages.AliveReply) -> None:
         """Take a second scheduler's word on an entry."""
         now = clock.now()
-        limit = self._peers.membership.silence
-        mine = self._peers.membership.silence_of(reply.member, now)
+        limit = self._peers.membership.silence_timeout
+        mine = self._peers.membership.silence_duration(reply.member, now)
         if 0 <= reply.silence <= limit:
             self._vouched[reply.member] = now
         # Who has never heard the entry may have just started.
@@ -113,23 +115,26 @@
             now: monotonic seconds.
         """
         membership = self._peers.membership
-        silent = membership.silent(now)
-        for entry in self._watch.to_confirm(silent, now):
-            if membership.delisted(entry):
+        silent = membership.silent_members(now)
+        for entry in self._watch.entries_to_confirm(silent, now):
+            if membership.is_delisted(entry):
                 self._gone(entry, 'delisted')
                 continue
-            patience = membership.silence * _ALONE_FACTOR
+            patience = membership.silence_timeout * _ALONE_FACTOR
             if self._ask(entry):
                 patience *= _ALONE_FACTOR
             if self._is_vouched(entry, now):
                 continue
-            if membership.silence_of(entry, now) > patience:
+            if membership.silence_duration(entry, now) > patience:
                 self._gone(entry, 'silent')
 
     def _is_vouched(self, entry: ids.MemberId, now: float) -> bool:
         """Return whether another scheduler lately heard an entry."""
         at = self._vouched.get(entry)
-        return at is not None and now - at <= self._peers.membership.silence
+        return (
+            at is not None
+            and now - at <= self._peers.membership.silence_timeout
+        )
 
     def _ask(self, entry: ids.MemberId) -> bool:
         """Ask every other live scheduler; False when there is none."""
@@ -141,7 +146,7 @@
         return asked
 
     def _gone(self, entry: ids.MemberId, why: str) -> None:
-        orphans = self._watch.confirm(entry)
+        orphans = self._watch.confirm_gone(entry)
         self._vouched.pop(entry, None)
         _log.warning(
             'Entry is gone.', entry=entry, why=why, streams=len(orphans)
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -108,7 +108,7 @@
 
     def schedulers(self) -> list[ids.MemberId]:
         """Return the live schedulers."""
-        return self.membership.live(states.Role.SCHEDULER, clock.now())
+        return self.membership.live_members(states.Role.SCHEDULER, clock.now())
 
     def send(self, member: ids.MemberId, message: messages.AnyMessage) -> bool:
         """Send a message to a scheduler; False without a link to it."""
@@ -139,7 +139,7 @@
     def heard(self, heartbeat: messages.Heartbeat) -> None:
         """Take a heartbeat, from a link or from the hub."""
         now = clock.now()
-        fresh = self.membership.heard(heartbeat, now)
+        fresh = self.membership.record_heartbeat(heartbeat, now)
         if fresh and heartbeat.member != self.member:
             _log.info(
                 'Member seen.',
@@ -153,8 +153,10 @@
 
     async def _beat(self) -> None:
         now = clock.now()
-        self.membership.silence = self._options.silence * self.interval()
-        self.membership.forget(now)
+        self.membership.silence_timeout = (
+            self._options.silence * self.interval()
+        )
+        self.membership.forget_silent(now)
         self.broadcast(self.heartbeat())
         for report in self._reports:
             report()
@@ -164,7 +166,7 @@
         if isinstance(listed, errors.Failure):
             return
         system = [vm for vm in listed.vms if vm.group == vms.SYSTEM]
-        self.membership.listed(
+        self.membership.record_vm_list(
             (vm.address for vm in system if vm.state == 'live'),
             (vm.address for vm in system if vm.state != 'live'),
         )
@@ -180,7 +182,7 @@
             self._connect(address)
         for member in list(self._links):
             address = membership.address_of(member)
-            silent = self.membership.silence_of(member, clock.now())
+            silent = self.membership.silence_duration(member, clock.now())
             gone = address not in wanted and not 0 <= silent < 30
             if gone:
                 self._links.pop(member).close()
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -77,13 +77,13 @@
         # Requests of entries that are ahead of this scheduler's revision.
         self._early: list[news_module.FromEntry] = []
         self._plans: collections.abc.Mapping[
-            ids.CellId, cells_module.Plan
+            ids.CellId, cells_module.CellConfig
         ] = {}
 
     @property
     def waiting(self) -> int:
         """Requests that wait for a place."""
-        return sum(cell.waiting for cell in self._cells.values())
+        return sum(cell.queue_length for cell in self._cells.values())
 
     @property
     def cells(self) -> tuple[cell_module.Cell, ...]:
@@ -104,7 +104,7 @@
                         prefill.name,
                         cell.service.name,
                         _standing(prefill.leaving, prefill.health.state.value),
-                        prefill.outstanding,
+                        prefill.queued_prompts,
                         prefill.settings.places,
                         0.0,
                     )
@@ -135,7 +135,7 @@
 
     def _next_look(self) -> float:
         now = clock.now()
-        looks = [cell.next_look(now) for cell in self._cells.values()]
+        looks = [cell.next_decision_at(now) for cell in self._cells.values()]
         times = [look - now for look in looks if look is not None]
         return max(0.001, min(times, default=_IDLE_LOOK))
 
@@ -157,7 +157,7 @@
         elif isinstance(message, messages.Progress):
             cell = self._cell_with(message.stream)
             if cell is not None:
-                cell.progress(message, now)
+                cell.record_progress(message, now)
         elif isinstance(message, messages.Release):
             self._release(message, now)
         elif isinstance(message, messages.HeldReport):
@@ -199,7 +199,7 @@
         send: collections.abc.Callable[[messages.AnyMessage], None],
     ) -> None:
         """Answer a request that was sent again."""
-        reservation = cell.held.get(request.stream)
+        reservation = cell.active_reservations.get(request.stream)
         if reservation is None:
             self._waiters[request.stream] = send
             return
@@ -220,7 +220,7 @@
         caller = settings.caller(request.caller) if settings else None
         if caller is None:
             return 1.0, None
-        if cell.waiting_of(caller.name) >= caller.max_waiting:
+        if cell.queue_length_of(caller.name) >= caller.max_waiting:
             return caller.share, errors.SHARE_USED
         return caller.share, None
 
@@ -231,7 +231,7 @@
         request = request_of(release.stream)
         self._trail.add(request, f'released {release.note}')
         if cell is not None:
-            before = release.stream in cell.held
+            before = release.stream in cell.active_reservations
             cell.release(release, now)
             if before:
                 metrics.places_reserved.add(-1)
@@ -248,28 +248,34 @@
             part = messages.HeldReport(
                 report.entry, report.incarnation, held_here
             )
-            cell.rebuild(part, now)
+            cell.reconcile(part, now)
 
     def _take_report(self, news: news_module.EngineReport) -> None:
         now = clock.now()
         load = news.load
         for cell in self._cells.values():
-            if not cell.serves_with(news.engine):
+            if not cell.has_engine(news.engine):
                 continue
-            cell.paced(news.engine, load.seconds_per_token, now)
+            cell.record_token_interval(
+                news.engine, load.seconds_per_token, now
+            )
             for event in load.events:
-                if not cell.index.numbered(
+                if not cell.prefix_index.accept_event(
                     news.engine, load.incarnation, event.number, now
                 ):
                     continue
                 if event.evicted:
-                    cell.index.evicted(news.engine, event.blocks)
+                    cell.prefix_index.remove_prefixes(
+                        news.engine, event.blocks
+                    )
                 else:
-                    cell.index.stored(news.engine, event.blocks, now)
+                    cell.prefix_index.add_prefixes(
+                        news.engine, event.blocks, now
+                    )
 
     def _forget_entry(self, entry: ids.MemberId) -> None:
         for cell in self._cells.values():
-            cell.forget_entry(entry, clock.now())
+            cell.remove_entry(entry, clock.now())
 
     def _refresh(self, news: news_module.Refresh) -> None:
         self._leaving = news.leaving
@@ -282,21 +288,23 @@
             self._make_cell(news.plans[cell_id])
         for cell_id, cell in list(self._cells.items()):
             if cell_id not in news.owned:
-                cell.unprobed()
+                cell.expect_no_load_reports()
             found = news.plans.get(cell_id)
             if found is not None:
-                cell.configure(found.service, found.engines, found.allowed)
+                cell.configure(
+                    found.service, found.engines, found.allowed_by_site
+                )
                 cell.set_leaving(self._leaving)
-            elif not cell.waiting and not cell.held:
+            elif not cell.queue_length and not cell.active_reservations:
                 del self._cells[cell_id]
 
-    def _make_cell(self, plan: cells_module.Plan) -> cell_module.Cell:
+    def _make_cell(self, plan: cells_module.CellConfig) -> cell_module.Cell:
         cell = self._cells.get(plan.cell)
         if cell is None:
             source = random.Random(clock.incarnation())
             cell = cell_module.Cell(plan.service, source)
             self._cells[plan.cell] = cell
-        cell.configure(plan.service, plan.engines, plan.allowed)
+        cell.configure(plan.service, plan.engines, plan.allowed_by_site)
         cell.set_leaving(self._leaving)
         return cell
 
@@ -306,7 +314,7 @@
         region = self._config.region_of(self._data_centre)
         if region is None:
             return None, None
-        cell_id = cells_module.cell_for(
+        cell_id = cells_module.cell_of_request(
             self._plans.keys(),
             request.service,
             region,
@@ -326,7 +334,7 @@
     def _decide(self) -> None:
         now = clock.now()
         for cell in self._cells.values():
-            for stream in cell.lapse(now):
+            for stream in cell.expire(now):
                 self._cell_by_stream.pop(stream, None)
                 metrics.places_reserved.add(-1)
                 _log.warning('Reservation lapsed.', stream=stream)
--- a/galenahatch/placing.py
+++ b/galenahatch/placing.py
@@ -81,7 +81,7 @@
         """Take a new configuration."""
         region = self._config.region_of(self._data_centre)
         if region is not None:
-            plans = cells.plans(self._config.sites, region)
+            plans = cells.cell_configs(self._config.sites, region)
             self._cells = frozenset(plans)
 
     async def place(
@@ -250,7 +250,7 @@
         region = self._config.region_of(self._data_centre)
         if region is None:
             return None
-        return cells.cell_for(
+        return cells.cell_of_request(
             self._cells,
             request.service,
             region,
--- a/galenahatch/plain.py
+++ b/galenahatch/plain.py
@@ -58,7 +58,7 @@
         repeatable: aiohttp.ClientSession,
         once: aiohttp.ClientSession,
         claiming: claiming_module.Claiming,
-        leaving: leaving_module.Leaving,
+        leaving: leaving_module.LeavingUpstreams,
     ) -> None:
         self._repeatable = repeatable
         self._once = once
@@ -95,9 +95,9 @@
         caller: schema.Caller,
         headers: inbound.Headers,
     ) -> web.StreamResponse:
-        key = claim.key_of(caller.name, headers.key)
+        key = claim.claim_key(caller.name, headers.key)
         target = f'{service.name} {call.method} {call.path}'
-        fingerprint = claim.fingerprint_of(target, call.body)
+        fingerprint = claim.request_fingerprint(target, call.body)
         claimed = await self._claiming.acquire(key, fingerprint)
         if isinstance(claimed, errors.Failure):
             return answers.refusal_of(claimed, headers.request)
@@ -208,7 +208,7 @@
         return [
             url
             for url in service.upstreams
-            if not self._leaving.url_leaves(
+            if not self._leaving.is_url_leaving(
                 url, parse.urlsplit(url).hostname or ''
             )
         ]
--- a/galenahatch/platform/documents.py
+++ b/galenahatch/platform/documents.py
@@ -183,14 +183,14 @@
         ValueError: it can't be one.
     """
     if told is msgspec.UNSET:
-        return incarnations.UNKNOWN
+        return incarnations.UNKNOWN_START
     if not 0 <= told <= _MOST_BORN:
         raise ValueError(f'born: {told}')
     return told
 
 
 def _incarnation(key: str, told: int | msgspec.UnsetType) -> ids.UpstreamId:
-    return incarnations.incarnation(ids.InstanceId(key), start(told))
+    return incarnations.upstream_id(ids.InstanceId(key), start(told))
 
 
 def _address(address: str) -> str:
@@ -233,14 +233,14 @@
         prefix=raw.prefix,
         kind=routes.Kind(raw.kind),
         timeout=raw.timeout_ms / 1000,
-        objective=raw.target_latency_ms / 1000,
+        latency_objective=raw.target_latency_ms / 1000,
         priority=raw.priority,
         targets=targets,
         max_attempts=raw.max_attempts,
         resumable=raw.resumable,
         generative=raw.sticky,
-        longest_pause=raw.gap_aim_ms / 1000,
-        anonymous=raw.anonymous,
+        max_event_gap=raw.gap_aim_ms / 1000,
+        allows_anonymous=raw.anonymous,
     )
 
 
@@ -284,7 +284,7 @@
         raise ValueError(f'tenant {raw.name}: priority: {raw.priority}')
     if not all(raw.api_keys):
         raise ValueError(f'tenant {raw.name}: api_keys: an empty one')
-    keys = frozenset(customers.digest(key) for key in raw.api_keys)
+    keys = frozenset(customers.key_digest(key) for key in raw.api_keys)
     if len(keys) < len(raw.api_keys):
         raise ValueError(f'tenant {raw.name}: api_keys: one held twice')
     quota = None
@@ -296,7 +296,7 @@
         priority=raw.priority,
         unit=_unit(raw),
         quota=quota,
-        plain_tokens=raw.plain_tokens,
+        default_tokens=raw.plain_tokens,
     )
 
 
@@ -314,8 +314,8 @@
             slots=raw.engine.slots,
             kv_tokens=raw.engine.kv_tokens,
             handle_ttl=raw.engine.kv_hold_s,
-            switch=raw.engine.switch_s,
-            stride=raw.engine.stride,
+            switch_time=raw.engine.switch_s,
+            event_tokens=raw.engine.stride,
         )
     return routes.Service(
         name=ids.ServiceName(raw.name),
@@ -327,8 +327,8 @@
 
 def _limits(raw: _Limits) -> routes.Limits:
     return routes.Limits(
-        header_bytes=raw.max_header_bytes,
-        body_bytes=raw.max_body_bytes,
+        max_header_bytes=raw.max_header_bytes,
+        max_body_bytes=raw.max_body_bytes,
         header_timeout=raw.header_timeout_ms / 1000,
         idle_timeout=raw.idle_timeout_ms / 1000,
     )
--- a/galenahatch/platform/engines.py
+++ b/galenahatch/platform/engines.py
@@ -60,13 +60,13 @@
     stage: upstreams.Stage | None
     busy: bool
     taken: int
-    born: int = incarnations.UNKNOWN
+    born: int = incarnations.UNKNOWN_START
 
     def is_of(self, upstream: ids.UpstreamId) -> bool:
         """Return whether it may come from a certain start."""
-        unknown = incarnations.UNKNOWN
-        return self.born in (unknown, incarnations.born(upstream)) or (
-            incarnations.born(upstream) == unknown
+        unknown = incarnations.UNKNOWN_START
+        return self.born in (unknown, incarnations.started_ms(upstream)) or (
+            incarnations.started_ms(upstream) == unknown
         )
 
 
@@ -145,6 +145,6 @@
 def pinned(upstream: ids.UpstreamId) -> dict[str, str]:
     """Return the headers of a call that only one upstream may take."""
     return {
-        wire.INSTANCE: incarnations.instance(upstream),
+        wire.INSTANCE: incarnations.instance_id(upstream),
         'Content-Type': 'application/json',
     }
--- a/galenahatch/platform/wire.py
+++ b/galenahatch/platform/wire.py
@@ -160,7 +160,7 @@
 ) -> 'multidict.CIMultiDict[str]':
     """Return the headers of a request to an upstream."""
     headers = request.headers.copy()
-    headers[INSTANCE] = incarnations.instance(directions.upstream)
+    headers[INSTANCE] = incarnations.instance_id(directions.upstream)
     if directions.patience is not None:
         left = max(1, int(directions.patience * 1000))
         headers[_PATIENCE] = str(left)
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -42,7 +42,7 @@
         self,
         client: aiohttp.ClientSession,
         tell: collections.abc.Callable[[news_module.News], None],
-        leaving: leaving_module.Leaving,
+        leaving: leaving_module.LeavingUpstreams,
     ) -> None:
         self._client = client
         self._tell = tell
@@ -71,7 +71,7 @@
             self._since[engine.name] = -1
         if load.events:
             self._since[engine.name] = load.events[-1].number
-        self._leaving.reported(
+        self._leaving.record_report(
             engine.name, load.incarnation, load.sequence, load.leaving
         )
         self._tell(news_module.EngineReport(engine.name, load))
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -56,9 +56,9 @@
     def __init__(self, options: options_module.Options) -> None:
         super().__init__(options)
         self._senders: dict[ids.MemberId, bus.Peer] = {}
-        self._leaving = leaving_module.Leaving()
+        self._leaving = leaving_module.LeavingUpstreams()
         self._trail = trail.Trail()
-        self._plans: dict[ids.CellId, cells.Plan] = {}
+        self._plans: dict[ids.CellId, cells.CellConfig] = {}
         self._planned = ids.Revision(0)
 
     async def start(self) -> None:
@@ -187,7 +187,9 @@
                 self._hub.send(sender, message)
         elif isinstance(message, messages.AliveQuery):
             now = clock.now()
-            silence = self.peers.membership.silence_of(message.member, now)
+            silence = self.peers.membership.silence_duration(
+                message.member, now
+            )
             send(messages.AliveReply(message.member, silence))
         elif isinstance(message, messages.ConfigRequest):
             body = self.config.body(message.above)
@@ -225,7 +227,7 @@
         restarted = (
             holder is not None and holder.incarnation != query.incarnation
         )
-        if restarted or self.peers.membership.delisted(query.holder):
+        if restarted or self.peers.membership.is_delisted(query.holder):
             state = states.HolderState.GONE
         elif holder is None or sender is None:
             state = states.HolderState.SILENT
@@ -245,7 +247,7 @@
     # News.
 
     def _listed(self, listed: vms.VmList) -> None:
-        self._leaving.listed(
+        self._leaving.record_vm_list(
             listed.version,
             (vm.address for vm in listed.vms if vm.state != 'live'),
         )
@@ -253,10 +255,12 @@
 
     def _refresh(self) -> None:
         """Tell the placement what is owned and what leaves."""
-        self._leaving.configured(self.config.revision, self.config.draining())
+        self._leaving.record_configuration(
+            self.config.revision, self.config.draining()
+        )
         self.peers.why_not_ready = self._why_not_ready()
         self.peers.load = self._placement.waiting
-        leaving = self._leaving.names(self._declared())
+        leaving = self._leaving.leaving_engines(self._declared())
         owned = frozenset(self._owned())
         news = news_module.Refresh(self._planned, self._plans, owned, leaving)
         self._placement.tell(news)
@@ -265,7 +269,7 @@
         """Work out the cells of a new configuration."""
         region = self.config.region_of(self.options.data_centre)
         if region is not None:
-            self._plans = cells.plans(self.config.sites, region)
+            self._plans = cells.cell_configs(self.config.sites, region)
             self._planned = self.config.revision
         self._refresh()
 
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -195,8 +195,8 @@
             return self._refuse(asked, headers.request)
         if not headers.non_idempotent:
             return await self._run(request, asked, None)
-        key = claim.key_of(arrived.caller.name, headers.key)
-        print_of_body = claim.fingerprint_of(request.path, arrived.body)
+        key = claim.claim_key(arrived.caller.name, headers.key)
+        print_of_body = claim.request_fingerprint(request.path, arrived.body)
         claimed = await self._claiming.acquire(key, print_of_body)
         if isinstance(claimed, errors.Failure):
             return self._refuse(claimed, headers.request)
--- a/galenahatch/test/samples.py
+++ b/galenahatch/test/samples.py
@@ -54,7 +54,7 @@
 def accepted(number: int) -> revision.Accepted:
     """Return an accepted configuration with this revision."""
     bundle = schema.Bundle(BASE, {'bergamo': ''})
-    digest = revision.digest_of(revision.encode(bundle))
+    digest = revision.bundle_digest(revision.encode(bundle))
     head = revision.Head(
         ids.Revision(number), ids.ChangeId(f'c{number}'), digest, 'me', ''
     )
--- a/galenahatch/test/standin/model.py
+++ b/galenahatch/test/standin/model.py
@@ -239,7 +239,7 @@
 
     def _cached_tokens(self, prompt: str, tokens: int) -> int:
         hit = 0
-        for number, block in enumerate(cache.blocks_of(prompt)):
+        for number, block in enumerate(cache.hash_blocks(prompt)):
             if block not in self.cached:
                 break
             self.cached.move_to_end(block)
@@ -248,7 +248,7 @@
 
     def _remember(self, prompt: str) -> None:
         fresh = []
-        for block in cache.blocks_of(prompt):
+        for block in cache.hash_blocks(prompt):
             if block not in self.cached:
                 fresh.append(block)
             self.cached[block] = None
--- a/galenahatch/test/test_cell.py
+++ b/galenahatch/test/test_cell.py
@@ -92,7 +92,9 @@
             running.append((now + 0.1, decision.answer.stream))
         while running and running[0][0] <= now:
             stream = running.pop(0)[1]
-            cell.progress(messages.Progress(stream, states.Stage.DECODE), now)
+            cell.record_progress(
+                messages.Progress(stream, states.Stage.DECODE), now
+            )
             cell.release(messages.Release(stream, None, 5, 0.01), now)
     return None
 
@@ -167,7 +169,7 @@
         _engine('d2', 'decode'),
     )
     for _ in range(3):
-        cell.failed(ids.EngineName('d2'), 99.0)
+        cell.record_failure(ids.EngineName('d2'), 99.0)
     cell.decide(100.0)
     again = msgspec.structs.replace(
         _request(1, states.Urgency.NORMAL, 5.0),
--- a/galenahatch/test/test_customers.py
+++ b/galenahatch/test/test_customers.py
@@ -27,10 +27,12 @@
     (
         customers.Customer(
             ids.CustomerName('shop'),
-            frozenset(customers.digest(key) for key in ('k1', 'k2', _LONG)),
+            frozenset(
+                customers.key_digest(key) for key in ('k1', 'k2', _LONG)
+            ),
         ),
         customers.Customer(
-            ids.CustomerName('desk'), frozenset({customers.digest('k3')})
+            ids.CustomerName('desk'), frozenset({customers.key_digest('k3')})
         ),
     )
 )
@@ -40,7 +42,7 @@
 
 
 def _identified(credentials: tuple[str, ...], is_anonymous: bool) -> str:
-    found = customers.identify(_KNOWN, credentials, is_anonymous)
+    found = customers.authenticate(_KNOWN, credentials, is_anonymous)
     if found is None:
         return _NOBODY
     if isinstance(found, errors.Failure):
@@ -85,10 +87,10 @@
 
 def test_failures_show_no_key() -> None:
     """What is told of an unknown key is its digest."""
-    found = customers.identify(_KNOWN, ('Bearer my-secret',), False)
+    found = customers.authenticate(_KNOWN, ('Bearer my-secret',), False)
     assert isinstance(found, errors.Failure)
     assert 'my-secret' not in found.detail
-    assert customers.digest('my-secret') in found.detail
+    assert customers.key_digest('my-secret') in found.detail
 
 
 def _call(*headers: tuple[bytes, bytes]) -> calls.Call:
@@ -103,7 +105,7 @@
         (b'x-galenahatch-TENANT', b'desk'),
         (b'X-Galenahatch-Tenant', b'desk'),
     )
-    found = customers.identify(_KNOWN, call.credentials, False)
+    found = customers.authenticate(_KNOWN, call.credentials, False)
     assert isinstance(found, customers.Customer)
     known = wire.identified(call, found)
     directions = calls.Directions(ids.UpstreamId('i-1'), 1.0)
@@ -136,7 +138,7 @@
 
     def digest(key: str) -> ids.RequestDigest:
         call = _call((b'Authorization', b'Bearer ' + key.encode()))
-        found = customers.identify(_KNOWN, call.credentials, False)
+        found = customers.authenticate(_KNOWN, call.credentials, False)
         assert isinstance(found, customers.Customer)
         return wire.identified(call, found).digest
 
@@ -167,7 +169,7 @@
         frozenset(),
         unit=customers.Unit.TOKENS,
         quota=quota,
-        plain_tokens=200.0,
+        default_tokens=200.0,
     )
     assert wire.identified(call, by_tokens).units == (tokens or 200)
     by_requests = customers.Customer(
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -156,12 +156,12 @@
 def test_leaving_is_final() -> None:
     """Older news never brings a leaving upstream back."""
     registry = upstreams.Registry()
-    registry.put(_engine('d', None), 0.0)
-    assert registry.takes_work(ids.UpstreamId('d'), 0.0)
-    registry.put(_engine('d', None, leaving=True), 1.0)
-    registry.put(_engine('d', None), 2.0)
-    assert not registry.takes_work(ids.UpstreamId('d'), 2.0)
-    registry.replace([_engine('d', None)], 3.0)
+    registry.register(_engine('d', None), 0.0)
+    assert registry.accepts_work(ids.UpstreamId('d'), 0.0)
+    registry.register(_engine('d', None, leaving=True), 1.0)
+    registry.register(_engine('d', None), 2.0)
+    assert not registry.accepts_work(ids.UpstreamId('d'), 2.0)
+    registry.replace_all([_engine('d', None)], 3.0)
     assert not registry.usable(_SERVICE, 3.0)
 
 
@@ -169,22 +169,22 @@
     """A service that vanished whole is used until its entries are due."""
     registry = upstreams.Registry()
     for name in ('d', 'dd'):
-        registry.put(_engine(name, None), 0.0)
-    registry.replace([], 10.0)
+        registry.register(_engine(name, None), 0.0)
+    registry.replace_all([], 10.0)
     assert len(registry.usable(_SERVICE, 11.0)) == 2
-    assert registry.takes_work(ids.UpstreamId('d'), 11.0)
+    assert registry.accepts_work(ids.UpstreamId('d'), 11.0)
     assert not registry.usable(_SERVICE, 12.0)
-    registry.put(_engine('d', None), 12.1)
-    assert not registry.takes_work(ids.UpstreamId('dd'), 12.1)
+    registry.register(_engine('d', None), 12.1)
+    assert not registry.accepts_work(ids.UpstreamId('dd'), 12.1)
 
 
 def test_one_of_two_that_vanished_gets_nothing() -> None:
     """What vanished while others stand takes no new work at once."""
     registry = upstreams.Registry()
     for name in ('d', 'dd'):
-        registry.put(_engine(name, None), 0.0)
+        registry.register(_engine(name, None), 0.0)
     registry.remove(ids.InstanceId('d'), 1.0)
-    assert not registry.takes_work(ids.UpstreamId('d'), 1.0)
+    assert not registry.accepts_work(ids.UpstreamId('d'), 1.0)
 
 
 # Sends.
--- a/galenahatch/test/test_follower.py
+++ b/galenahatch/test/test_follower.py
@@ -165,11 +165,11 @@
     """
     old = _directory()
     old.take_news(_told(1, 'left', 'stays'))
-    assert set(old.registry.known) == {'left', 'stays'}
+    assert set(old.registry.upstreams) == {'left', 'stays'}
     started = _directory()
     started.take_news(_told(5, 'stays'))
     news = started.news(messages.Ask(0, old.upstreams_version.number))
     assert news is not None
     old.take_news(news)
-    assert set(old.registry.known) == {'stays'}
+    assert set(old.registry.upstreams) == {'stays'}
     assert old.upstreams_version == versions.Version(0, 5)
--- a/galenahatch/test/test_fuzz_cell.py
+++ b/galenahatch/test/test_fuzz_cell.py
@@ -156,7 +156,7 @@
     ) -> None:
         """An entry reports progress."""
         stream = data.draw(strategies.sampled_from(sorted(self.held)))
-        self.cell.progress(
+        self.cell.record_progress(
             messages.Progress(stream, stage, 0, 10, 0.1), self.now
         )
 
@@ -188,7 +188,7 @@
     @stateful.rule(entry=strategies.sampled_from(_ENTRIES))
     def die(self, entry: str) -> None:
         """An entry is taken for gone."""
-        self.cell.forget_entry(ids.MemberId(entry), self.now)
+        self.cell.remove_entry(ids.MemberId(entry), self.now)
         for state in (self.waiting, self.held):
             for stream in [s for s in state if self.entry_of[s] == entry]:
                 del state[stream]
@@ -205,7 +205,7 @@
                 if self.entry_of[stream] == entry
             )
             report = messages.HeldReport(ids.MemberId(entry), 1, held)
-            self.cell.rebuild(report, self.now)
+            self.cell.reconcile(report, self.now)
         for request in list(self.waiting.values()):
             decision = self.cell.submit(request, 1.0, self.now)
             if decision is not None:
@@ -214,8 +214,8 @@
     @stateful.invariant()
     def nothing_lost_or_overfilled(self) -> None:
         """Each request waits or was answered; places are never overbooked."""
-        assert self.cell.waiting == len(self.waiting)
-        assert set(self.cell.held) == set(self.held)
+        assert self.cell.queue_length == len(self.waiting)
+        assert set(self.cell.active_reservations) == set(self.held)
         for decode in self.cell.decodes:
             mine = sum(h.decode == decode.name for h in self.held.values())
             assert decode.reserved == mine
@@ -226,7 +226,7 @@
         for stream in list(self.held):
             self.cell.release(messages.Release(stream), self.now)
         for prefill in self.cell.prefills:
-            assert prefill.outstanding == 0
+            assert prefill.queued_prompts == 0
         for decode in self.cell.decodes:
             assert decode.reserved == 0
         states = [d.health.state for d in self.cell.decodes]
--- a/galenahatch/test/test_fuzz_claims.py
+++ b/galenahatch/test/test_fuzz_claims.py
@@ -37,8 +37,8 @@
 @dataclasses.dataclass
 class _Entry:
     incarnation: int = 1
-    holdings: claim.Holdings = dataclasses.field(
-        default_factory=claim.Holdings
+    holdings: claim.ClaimTokens = dataclasses.field(
+        default_factory=claim.ClaimTokens
     )
 
 
@@ -99,7 +99,7 @@
             ids.MemberId(entry),
             state.incarnation,
         )
-        state.holdings.begin(request.token)
+        state.holdings.add_pending(request.token)
         self.claims[request.token] = request
         self.operations.append(_Sent(entry, state.incarnation, request))
 
@@ -120,24 +120,24 @@
         if not again:
             del self.operations[number]
         operation = sent.operation
-        change = claimwrites.transaction_of([operation])
-        name = claimwrites.name_of(operation.key)
+        change = claimwrites.build_transaction([operation])
+        name = claimwrites.table_key(operation.key)
         if fate == 'done':
             conflict = self._apply(change)
             if conflict:
-                reply = claimwrites.conflicted(operation, conflict[name])
+                reply = claimwrites.conflict_reply(operation, conflict[name])
             else:
-                reply = claimwrites.written(operation)
+                reply = claimwrites.committed_reply(operation)
         elif fate in ('answer lost', 'late'):
             if fate == 'late':
                 self.late.append(change)
             else:
                 self._apply(change)
-            reply = claimwrites.found(operation, self.table.get(name))
+            reply = claimwrites.readback_reply(operation, self.table.get(name))
         else:
             if fate == 'unread':
                 self._apply(change)
-            reply = claimwrites.unconfirmed(operation)
+            reply = claimwrites.unconfirmed_reply(operation)
         self._check_vouched(reply)
         self.replies.append(
             _Sent(sent.entry, sent.incarnation, operation, reply)
@@ -180,13 +180,13 @@
     def _claimed(self, name: str, reply: messages.ClaimReply) -> None:
         holdings = self.entries[name].holdings
         if reply.status is states.ClaimStatus.MINE:
-            if holdings.dispatch(reply.token):
+            if holdings.try_dispatch(reply.token):
                 assert reply.token not in self.told_not_run
                 self.runs[reply.key].append(reply.token)
         elif reply.status is states.ClaimStatus.OTHERS:
             record = claim.decode(reply.record)
             assert isinstance(record, claim.Record)
-            verdict = claim.judge(record, reply.token, 'same body')
+            verdict = claim.classify_arrival(record, reply.token, 'same body')
             assert verdict is not claim.Arrival.RUN
             if verdict is claim.Arrival.REPLAY:
                 assert record.answer == self.answers[reply.key]
@@ -200,7 +200,7 @@
         self.told_not_run.add(token)
         request = self.claims[token]
         void = messages.ClaimVoid(
-            request.key, token, claimwrites.claimed(request)
+            request.key, token, claimwrites.encode_new_claim(request)
         )
         self.operations.append(_Sent(name, entry.incarnation, void))
 
@@ -209,7 +209,7 @@
         return [
             token
             for token, request in sorted(self.claims.items())
-            if self.entries[request.holder].holdings.hold(request.token)
+            if self.entries[request.holder].holdings.state(request.token)
             is claim.Hold.PENDING
         ]
 
@@ -230,15 +230,15 @@
         token = ids.ClaimToken(self.runs[key][0])
         request = self.claims[token]
         entry = self.entries[request.holder]
-        if entry.holdings.hold(token) is not claim.Hold.RUNNING:
+        if entry.holdings.state(token) is not claim.Hold.RUNNING:
             return
         answer = claim.Answer(200, 'answered', 'text/plain', token.encode())
         self.answers[key] = answer
         entry.holdings.finish(token, answer)
-        before = claimwrites.claimed(request)
+        before = claimwrites.encode_new_claim(request)
         record = claim.decode(before)
         assert isinstance(record, claim.Record)
-        after = claim.encode(claim.finished(record, answer, ''))
+        after = claim.encode(claim.finished_record(record, answer, ''))
         done = messages.ClaimDone(request.key, token, before, after)
         self.operations.append(_Sent(request.holder, entry.incarnation, done))
 
--- a/galenahatch/test/test_fuzz_rules.py
+++ b/galenahatch/test/test_fuzz_rules.py
@@ -48,19 +48,19 @@
     some point, and events of the first, or of another request, still come.
     """
     truth = [f'r1#{i} ' for i in range(5)]
-    built = assembly.Assembly()
-    built.expect(ids.StreamId('r1.1'))
+    built = assembly.AnswerAssembler()
+    built.expect_stream(ids.StreamId('r1.1'))
     for number, (stream, offset, is_end) in enumerate(events):
-        if number == switch_at and not built.finish:
-            built.expect(ids.StreamId('r1.2'))
+        if number == switch_at and not built.finish_reason:
+            built.expect_stream(ids.StreamId('r1.2'))
         request = stream.partition('.')[0]
         if is_end:
-            verdict = built.end(stream, 5, 'stop')
+            verdict = built.add_end(stream, 5, 'stop')
         else:
             text = f'{request}#{offset} '
             if offset >= 5:
                 continue
-            verdict = built.token(stream, offset, text)
+            verdict = built.add_token(stream, offset, text)
         assert built.parts == truth[: built.offset]
         if verdict is assembly.Verdict.END:
             assert built.parts == truth
@@ -100,7 +100,7 @@
         """A controller reads, pauses, and proposes."""
         mine = self.leases[name]
         mine.observe(self.record, self.now)
-        proposal = mine.proposal(self.now)
+        proposal = mine.propose(self.now)
         read = self.record
         began = self.now
         self.now += pause
@@ -108,7 +108,7 @@
             return
         self.record = proposal
         if not lost:
-            mine.accepted(proposal, began, self.now)
+            mine.record_accepted(proposal, began, self.now)
 
     @stateful.invariant()
     def one_may_order(self) -> None:
@@ -116,7 +116,7 @@
         able = [
             name
             for name, one in self.leases.items()
-            if one.may_order(self.now)
+            if one.may_send_orders(self.now)
         ]
         assert len(able) <= 1
         for name in able:
@@ -131,11 +131,11 @@
 @given(strategies.lists(strategies.integers(1, 9), max_size=30))
 def test_fuzz_revision(offers: list[int]) -> None:
     """The revision in force is always the highest one offered."""
-    in_force = revision.InForce()
+    in_force = revision.ActiveConfiguration()
     highest = 0
     for number in offers:
         accepted = samples.accepted(number)
-        taken = in_force.offer(accepted, config.load(accepted.bundle))
+        taken = in_force.apply_if_newer(accepted, config.load(accepted.bundle))
         assert taken == (number > highest)
         highest = max(highest, number)
         assert in_force.revision == highest
@@ -155,22 +155,24 @@
 def test_fuzz_leaving(news: list[tuple[str, int, bool]]) -> None:
     """An engine leaves if the newest word of any source says so."""
     engine = samples.engine('d1', 'decode')
-    joined = leaving.Leaving()
+    joined = leaving.LeavingUpstreams()
     newest: dict[str, tuple[int, bool]] = {}
     for source, number, leaves in news:
         before = newest.get(source, (0, False))
         if source == 'config':
-            joined.configured(number, [engine.name] if leaves else [])
+            joined.record_configuration(
+                number, [engine.name] if leaves else []
+            )
         elif source == 'vms':
-            joined.listed(number, [engine.address] if leaves else [])
+            joined.record_vm_list(number, [engine.address] if leaves else [])
         else:
-            joined.reported(engine.name, 1, number, leaves)
+            joined.record_report(engine.name, 1, number, leaves)
             # An engine that said it leaves does not come back by itself.
             leaves = leaves or before[1]
         if number > before[0]:
             newest[source] = (number, leaves)
         expected = any(leaves for _, leaves in newest.values())
-        assert (engine.name in joined.names([engine])) == expected
+        assert (engine.name in joined.leaving_engines([engine])) == expected
 
 
 @given(
@@ -189,8 +191,8 @@
             standing = states.Standing.LEAVING
             left.add(incarnation)
         now = 1.0 + number * 0.01
-        members.heard(samples.heartbeat(standing, incarnation), now)
-        live = members.live(states.Role.SCHEDULER, now)
+        members.record_heartbeat(samples.heartbeat(standing, incarnation), now)
+        live = members.live_members(states.Role.SCHEDULER, now)
         assert bool(live) == (incarnation not in left)
 
 
@@ -225,7 +227,7 @@
             share,
             cost,
         )
-        assert self.queue.ahead(item) >= 0
+        assert self.queue.work_ahead(item) >= 0
         self.queue.push(item)
         self.items[item.stream] = item
 
--- a/galenahatch/test/test_incarnations.py
+++ b/galenahatch/test/test_incarnations.py
@@ -58,7 +58,7 @@
 
 
 def _id(born: int, name: str = 'i-1') -> ids.UpstreamId:
-    return incarnations.incarnation(ids.InstanceId(name), born)
+    return incarnations.upstream_id(ids.InstanceId(name), born)
 
 
 def _entry(
@@ -93,8 +93,8 @@
 def test_names_are_read_back(name: str, born: int) -> None:
     """Whatever the id on the wire, id and start are read back."""
     made = _id(born, name)
-    assert incarnations.instance(made) == name
-    assert incarnations.born(made) == born
+    assert incarnations.instance_id(made) == name
+    assert incarnations.started_ms(made) == born
 
 
 # Entries.
@@ -166,69 +166,69 @@
 def test_later_start_replaces_earlier() -> None:
     """One that has left and starts again under its id is used again."""
     registry = upstreams.Registry()
-    registry.put(_entry(5), 0.0)
-    registry.put(_entry(5, leaving=True), 1.0)
-    registry.put(_entry(5), 2.0)
+    registry.register(_entry(5), 0.0)
+    registry.register(_entry(5, leaving=True), 1.0)
+    registry.register(_entry(5), 2.0)
     assert not registry.usable(_SERVICE, 2.0), 'older news brought it back'
-    registry.put(_entry(9), 3.0)
+    registry.register(_entry(9), 3.0)
     assert [u.id for u in registry.usable(_SERVICE, 3.0)] == [_id(9)]
-    assert not registry.takes_work(_id(5), 3.0)
-    assert registry.takes_work(_id(9), 3.0)
+    assert not registry.accepts_work(_id(5), 3.0)
+    assert registry.accepts_work(_id(9), 3.0)
 
 
 def test_earlier_start_changes_nothing() -> None:
     """Neither an entry of before nor its leaving reaches the later start."""
     registry = upstreams.Registry()
-    registry.put(_entry(9), 0.0)
-    assert not registry.put(_entry(5, leaving=True), 1.0)
-    registry.replace([_entry(5)], 2.0)
+    registry.register(_entry(9), 0.0)
+    assert not registry.register(_entry(5, leaving=True), 1.0)
+    registry.replace_all([_entry(5)], 2.0)
     assert [u.id for u in registry.usable(_SERVICE, 2.0)] == [_id(9)]
 
 
 def test_entry_without_start_is_of_the_latest() -> None:
     """An entry that does not tell its start speaks of the latest one."""
     registry = upstreams.Registry()
-    registry.put(_entry(9), 0.0)
-    registry.put(_entry(None, leaving=True), 1.0)
-    assert not registry.takes_work(_id(9), 1.0)
+    registry.register(_entry(9), 0.0)
+    registry.register(_entry(None, leaving=True), 1.0)
+    assert not registry.accepts_work(_id(9), 1.0)
 
 
 def test_report_tells_a_start_first() -> None:
     """A start is used as soon as it tells of itself, unless it may leave."""
     registry = upstreams.Registry()
-    registry.put(_entry(5), 0.0)
+    registry.register(_entry(5), 0.0)
     stage = upstreams.Stage.PREFILL
-    assert registry.restarted(_id(5), 4, stage, 1.0) is None
-    later = registry.restarted(_id(5), 9, stage, 1.0)
+    assert registry.record_restart(_id(5), 4, stage, 1.0) is None
+    later = registry.record_restart(_id(5), 9, stage, 1.0)
     assert later is not None and later.stage is stage
-    registry.put(_entry(5), 2.0)
+    registry.register(_entry(5), 2.0)
     assert [u.id for u in registry.usable(_SERVICE, 2.0)] == [_id(9)]
-    registry.put(_entry(9, leaving=True), 3.0)
-    assert registry.restarted(_id(9), 12, stage, 4.0) is None
+    registry.register(_entry(9, leaving=True), 3.0)
+    assert registry.record_restart(_id(9), 12, stage, 4.0) is None
     assert not registry.usable(_SERVICE, 4.0)
 
 
 def test_start_that_only_the_owner_knows() -> None:
     """A place on a later start than is known here can be sent to."""
     registry = upstreams.Registry()
-    registry.put(_entry(5), 0.0)
+    registry.register(_entry(5), 0.0)
     ahead = registry.find(_id(9))
     assert ahead is not None and ahead.address == '10.0.0.1:80'
-    assert registry.takes_work(_id(9), 0.0)
+    assert registry.accepts_work(_id(9), 0.0)
     assert registry.find(_id(3)) is None
-    registry.put(_entry(5, leaving=True), 1.0)
-    assert not registry.takes_work(_id(9), 1.0)
+    registry.register(_entry(5, leaving=True), 1.0)
+    assert not registry.accepts_work(_id(9), 1.0)
 
 
 def test_withdrawn_has_no_grace() -> None:
     """The last upstream of a service goes at once with a spoiled entry."""
     registry = upstreams.Registry()
-    registry.put(_entry(5), 0.0)
-    registry.withdraw(ids.InstanceId('i-1'), 1.0)
+    registry.register(_entry(5), 0.0)
+    registry.remove_unusable(ids.InstanceId('i-1'), 1.0)
     assert not registry.usable(_SERVICE, 1.0)
-    assert not registry.takes_work(_id(5), 1.0)
-    registry.put(_entry(5), 2.0)
-    assert registry.takes_work(_id(5), 2.0), 'a good entry brings it back'
+    assert not registry.accepts_work(_id(5), 1.0)
+    registry.register(_entry(5), 2.0)
+    assert registry.accepts_work(_id(5), 2.0), 'a good entry brings it back'
 
 
 # The directory.
@@ -281,7 +281,7 @@
     async def check(directory: directories.Directory) -> None:
         directory.entries.take_all([_row(7, born=9)], _at(7))
         directory.entries.take_some([_row(6, b'spoiled')], _at(8))
-        assert directory.registry.takes_work(_id(9), 0.0)
+        assert directory.registry.accepts_work(_id(9), 0.0)
 
     _with_directory(check)
 
@@ -292,7 +292,7 @@
     async def check(directory: directories.Directory) -> None:
         directory.entries.take_all([_row(7), _row(7, name='i-2')], _at(7))
         directory.entries.take_some([stores.Row('i-1', 0, b'', True)], _at(8))
-        assert not directory.registry.takes_work(_id(0), 0.0)
+        assert not directory.registry.accepts_work(_id(0), 0.0)
 
     _with_directory(check)
 
--- a/galenahatch/test/test_notices.py
+++ b/galenahatch/test/test_notices.py
@@ -113,13 +113,15 @@
 
 
 _NEWS = {
-    'ready': lambda known, now: known.put(_entry(_ID), now),
-    'draining': lambda known, now: known.put(_entry(_ID, True), now),
+    'ready': lambda known, now: known.register(_entry(_ID), now),
+    'draining': lambda known, now: known.register(_entry(_ID, True), now),
     'gone': lambda known, now: known.remove(ids.InstanceId('i-1'), now),
-    'bad': lambda known, now: known.withdraw(ids.InstanceId('i-1'), now),
-    'list': lambda known, now: known.replace([_entry(_ID)], now),
-    'empty': lambda known, now: known.replace([], now),
-    'told': lambda known, now: known.told_leaving(_ID, now),
+    'bad': lambda known, now: known.remove_unusable(
+        ids.InstanceId('i-1'), now
+    ),
+    'list': lambda known, now: known.replace_all([_entry(_ID)], now),
+    'empty': lambda known, now: known.replace_all([], now),
+    'told': lambda known, now: known.mark_leaving(_ID, now),
 }
 
 
@@ -142,17 +144,17 @@
     registry = upstreams.Registry()
     for word in before:
         _NEWS[word](registry, 0.0)
-    registry.told_leaving(_ID, 0.0)
+    registry.mark_leaving(_ID, 0.0)
     now = 0.0
     for word, seconds in [('told', 0.0), *after]:
         now += seconds
         if now > 3000:
             break
         _NEWS[word](registry, now)
-        assert not registry.takes_work(_ID, now)
+        assert not registry.accepts_work(_ID, now)
         assert _ID not in [u.id for u in registry.usable(_SERVICE, now)]
-    registry.put(_entry(_LATER), now)
-    assert registry.takes_work(_LATER, now)
+    registry.register(_entry(_LATER), now)
+    assert registry.accepts_work(_LATER, now)
     assert [u.id for u in registry.usable(_SERVICE, now)] == [_LATER]
 
 
@@ -161,8 +163,8 @@
     ends = set()
     for seed in range(100):
         known = pauses.Pauses(random.Random(seed))
-        known.begin(_ID, 3.0, 10.0)
-        left = known.left(_ID, 10.0)
+        known.start(_ID, 3.0, 10.0)
+        left = known.remaining(_ID, 10.0)
         assert 3.0 <= left <= 3.6
         ends.add(round(left, 3))
     assert len(ends) > 50
@@ -171,11 +173,11 @@
 def test_pause_is_bounded_and_not_cut() -> None:
     """A year is a few minutes; a shorter one does not end a longer one."""
     known = pauses.Pauses(random.Random(1))
-    known.begin(_ID, 31_536_000.0, 0.0)
-    assert 300 <= known.left(_ID, 0.0) <= 360
-    known.begin(_ID, 1.0, 10.0)
-    assert known.left(_ID, 10.0) >= 290
-    assert known.left(_LATER, 10.0) == 0
+    known.start(_ID, 31_536_000.0, 0.0)
+    assert 300 <= known.remaining(_ID, 0.0) <= 360
+    known.start(_ID, 1.0, 10.0)
+    assert known.remaining(_ID, 10.0) >= 290
+    assert known.remaining(_LATER, 10.0) == 0
     assert not known.active(1000.0)
 
 
--- a/galenahatch/test/test_orphans.py
+++ b/galenahatch/test/test_orphans.py
@@ -41,7 +41,7 @@
             states.Standing.LIVE,
             ids.Revision(1),
         )
-        self.membership.heard(heartbeat, clock.now() - silent_for)
+        self.membership.record_heartbeat(heartbeat, clock.now() - silent_for)
 
     def schedulers(self) -> list[ids.MemberId]:
         return [self.member, ids.MemberId('scheduler/10.0.0.3:8081')]
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -52,7 +52,7 @@
     base = samples.BASE + _SERVICE
     base += _engine_toml('p1', 'prefill') + _engine_toml('d1', 'decode')
     bundle = schema.Bundle(base, {'bergamo': ''})
-    digest = revision.digest_of(revision.encode(bundle))
+    digest = revision.bundle_digest(revision.encode(bundle))
     head = revision.Head(ids.Revision(1), ids.ChangeId('c'), digest, 'me', '')
     return revision.Accepted(head, bundle)
 
@@ -86,7 +86,7 @@
         objects.Objects(None, ''),  # type: ignore[arg-type]
         tasks.Tasks(),
     )
-    settings.in_force.offer(accepted, config.load(accepted.bundle))
+    settings.in_force.apply_if_newer(accepted, config.load(accepted.bundle))
     return settings
 
 
@@ -103,7 +103,7 @@
     running = asyncio.create_task(owner.run())
     owner.tell(news.FromEntry(_request(1), answers.append))
     await asyncio.sleep(0.01)
-    plans = cells.plans(sites, ids.RegionName('lombardy'))
+    plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
     refresh = news.Refresh(
         ids.Revision(1), plans, frozenset(plans), frozenset()
     )
@@ -132,7 +132,7 @@
     owner = placement.Placement(
         _settings(accepted), _CENTRE, trail.Trail(), lambda entry, held: None
     )
-    plans = cells.plans(sites, ids.RegionName('lombardy'))
+    plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
     owner.tell(
         news.Refresh(ids.Revision(1), plans, frozenset(plans), frozenset())
     )
@@ -145,7 +145,7 @@
     await asyncio.sleep(0.01)
     running.cancel()
     (cell,) = owner.cells
-    return cell.index.hits((8,), clock.now())
+    return cell.prefix_index.hits((8,), clock.now())
 
 
 def test_cache_events_of_a_restarted_engine() -> None:
--- a/galenahatch/test/test_ratelimits.py
+++ b/galenahatch/test/test_ratelimits.py
@@ -283,8 +283,8 @@
 def test_restarted_upstream_has_no_limit() -> None:
     """What an upstream named belongs to that start of it."""
     instance = ids.InstanceId('i-1')
-    before = incarnations.incarnation(instance, 1000)
-    after = incarnations.incarnation(instance, 2000)
+    before = incarnations.upstream_id(instance, 1000)
+    after = incarnations.upstream_id(instance, 2000)
     limiter = _limiter(**{before: 1.0})
     assert limiter.notices.rate(before) == 1.0
     assert limiter.notices.rate(after) is None
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -86,7 +86,7 @@
 
     def uses(self, born: int = 7) -> bool:
         """Return whether the upstream gets new work."""
-        upstream = incarnations.incarnation(ids.InstanceId(_KEY), born)
+        upstream = incarnations.upstream_id(ids.InstanceId(_KEY), born)
         usable = self.directory.registry.usable(
             ids.ServiceName('desk'), time.clock_gettime(time.CLOCK_BOOTTIME)
         )
@@ -213,7 +213,9 @@
     """Of a later era counts what is whole, of an earlier one nothing."""
     gateway = _knows(1, 40, 'i-1', 'i-2')
     gateway.take_news(news)
-    found = {incarnations.instance(one) for one in gateway.registry.known}
+    found = {
+        incarnations.instance_id(one) for one in gateway.registry.upstreams
+    }
     assert found == known
 
 
