--- a/galenahatch/gateway/frontend.py
+++ b/galenahatch/gateway/frontend.py
@@ -185,7 +185,7 @@
             self._in_flight -= 1
 
     async def _body(self, request: web.BaseRequest) -> bytes | errors.Failure:
-        most = self.limits().body_bytes
+        most = self.limits().max_body_bytes
         data = bytearray()
         try:
             async with timeouts.limit(_BODY_TIMEOUT):
@@ -221,8 +221,8 @@
         config = self._means.directory.config
         if config is None or config.customers is None:
             return call
-        customer = customers.identify(
-            config.customers, call.credentials, route.anonymous
+        customer = customers.authenticate(
+            config.customers, call.credentials, route.allows_anonymous
         )
         if isinstance(customer, errors.Failure):
             return customer
