--- a/bench/restores.py
+++ b/bench/restores.py
@@ -203,7 +203,7 @@
         self._hear(peer._era)
         known = self.entries.version
         if peer.entries.version > known:
-            question = messages.Ask(0, known.number, known.era)
+            question = messages.UpdateRequest(0, known.number, known.era)
             news = peer.entries.news(question, b'')
             if news is not None:
                 self.entries.take_news(news)
--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -38,7 +38,7 @@
 _REST: typing.Final = '(others)'
 _log = logs.Log('accounts')
 
-Announce = collections.abc.Callable[[tuple[messages.Used, ...]], None]
+Announce = collections.abc.Callable[[tuple[messages.QuotaUse, ...]], None]
 
 
 class Accounts:
@@ -60,7 +60,7 @@
         self._quotas = quotas.Quotas[ids.CustomerName](bound, clock.RANDOM)
         self._version = 0
         self._labels: set[ids.CustomerName] = set()
-        self._low: tuple[messages.Level, ...] = ()
+        self._low: tuple[messages.QuotaLevel, ...] = ()
         self._looked_at = 0.0
         self.announce: Announce = lambda used: None
         self.size: collections.abc.Callable[[], int] = lambda: 1
@@ -150,34 +150,36 @@
         """Note for which part of all gateways this one decides."""
         self._quotas.decide_for(part)
 
-    def take_new(self) -> tuple[messages.Used, ...]:
+    def take_new(self) -> tuple[messages.QuotaUse, ...]:
         """Return what was used here since the last call, for a beat."""
         untold = self._quotas.take_untold()
-        return tuple(messages.Used(*item) for item in untold.items())
+        return tuple(messages.QuotaUse(*item) for item in untold.items())
 
-    def take(self, used: tuple[messages.Used, ...]) -> None:
+    def take(self, used: tuple[messages.QuotaUse, ...]) -> None:
         """Count what another gateway tells with its beat."""
         units = {one.customer: one.units for one in used}
         self._quotas.used_elsewhere(units, clock.now())
 
     def levels(
-        self, used: tuple[messages.Used, ...]
-    ) -> tuple[messages.Level, ...]:
+        self, used: tuple[messages.QuotaUse, ...]
+    ) -> tuple[messages.QuotaLevel, ...]:
         """Return what is left to the customers of another gateway's calls."""
         names = [one.customer for one in used]
         levels = self._quotas.levels(names, clock.now())
-        return tuple(messages.Level(*item) for item in levels.items())
+        return tuple(messages.QuotaLevel(*item) for item in levels.items())
 
-    def low(self) -> tuple[messages.Level, ...]:
+    def low(self) -> tuple[messages.QuotaLevel, ...]:
         """Return the customers that are short, for the answer to a beat."""
         now = clock.now()
         if now - self._looked_at > _LOOK_EVERY:
             self._looked_at = now
             levels = self._quotas.low(now)
-            self._low = tuple(messages.Level(*it) for it in levels.items())
+            self._low = tuple(
+                messages.QuotaLevel(*it) for it in levels.items()
+            )
         return self._low
 
-    def hear(self, low: tuple[messages.Level, ...]) -> None:
+    def hear(self, low: tuple[messages.QuotaLevel, ...]) -> None:
         """Take what an owner tells."""
         levels = {one.customer: one.units for one in low}
         self._quotas.hear(levels, clock.now())
--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -165,14 +165,14 @@
 
     # News of peers.
 
-    def news(self, ask: messages.Ask) -> messages.News | None:
+    def news(self, ask: messages.UpdateRequest) -> messages.Update | None:
         """Return what is newer here than at a peer, if anything is."""
         config = b''
-        if self.config_version > ask.config:
+        if self.config_version > ask.config_version:
             config = zlib.compress(self._document)
         return self.entries.news(ask, config)
 
-    def take_news(self, news: messages.News) -> None:
+    def take_news(self, news: messages.Update) -> None:
         """Take what a peer knows, if it is newer."""
         if news.config:
             self._take_compressed(news.config)
--- a/galenahatch/gateway/entries.py
+++ b/galenahatch/gateway/entries.py
@@ -92,7 +92,9 @@
 
     # News of peers.
 
-    def news(self, ask: messages.Ask, config: bytes) -> messages.News | None:
+    def news(
+        self, ask: messages.UpdateRequest, config: bytes
+    ) -> messages.Update | None:
         """Return what is newer here than at a peer, if anything is.
 
         A gateway that started after the peer does not know what has gone in
@@ -107,34 +109,34 @@
         if not config and self._version <= asked:
             return None
         is_whole = asked < self._knows_since
-        after = -1 if is_whole else ask.upstreams
-        rows: tuple[messages.NewsRow, ...] = ()
+        after = -1 if is_whole else ask.upstreams_version
+        rows: tuple[messages.UpdateRow, ...] = ()
         if self._version > asked:
             rows = tuple(
-                messages.NewsRow(key, row.number, row.document or b'')
+                messages.UpdateRow(key, row.number, row.document or b'')
                 for key, row in self._rows.items()
                 if row.number > after
             )
-        return messages.News(
+        return messages.Update(
             config,
-            ask.upstreams,
+            ask.upstreams_version,
             self._version.number,
             rows,
             is_whole,
             self._version.era,
         )
 
-    def take_news(self, news: messages.News) -> None:
+    def take_news(self, news: messages.Update) -> None:
         """Take what a peer knows, if it is newer."""
         version = messages.upstreams_version(news)
         if version <= self._version:
             return
         rows = [
-            stores.Row(row.key, row.ver, row.document, not row.document)
+            stores.Row(row.key, row.version, row.document, not row.document)
             for row in news.rows
         ]
         after = versions.Version(news.era, news.after)
-        if news.is_whole:
+        if news.is_complete:
             current = [row for row in rows if not row.removed]
             self.take_all(current, version)
         elif after <= self._version:
--- a/galenahatch/gateway/frames.py
+++ b/galenahatch/gateway/frames.py
@@ -23,29 +23,29 @@
 _MOST_BYTES: typing.Final = 4 * 1024 * 1024
 
 AnyMessage = (
-    messages.Beat
-    | messages.BeatBack
-    | messages.Place
+    messages.Heartbeat
+    | messages.HeartbeatReply
+    | messages.PlacementRequest
     | messages.Queued
-    | messages.PlacedAt
-    | messages.GivenUp
+    | messages.Placement
+    | messages.PlacementRefused
     | messages.Declined
     | messages.Withdraw
     | messages.Prefilled
     | messages.Started
     | messages.Release
-    | messages.GivenBack
-    | messages.Spent
-    | messages.Left
+    | messages.QuotaRefund
+    | messages.QuotaUsage
+    | messages.QuotaLevels
     | messages.RateLimits
-    | messages.Leaving
-    | messages.Permit
-    | messages.Permitted
-    | messages.Change
-    | messages.Changed
+    | messages.LeavingUpstreams
+    | messages.PermitRequest
+    | messages.PermitReply
+    | messages.StageChangeRequest
+    | messages.StageChangeReply
     | messages.Suspicions
-    | messages.Ask
-    | messages.News
+    | messages.UpdateRequest
+    | messages.Update
 )
 
 _PREFIX: typing.Final = bytes([_VERSION])
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -136,7 +136,7 @@
             wish = self._wish(stream, number)
             placed = await self._means.ownership.place(wish)
             self._spent.waited += clock.now() - began
-            if isinstance(placed, messages.GivenUp):
+            if isinstance(placed, messages.PlacementRefused):
                 return self._given_up(placed)
             self._was_placed = True
             result = await self._attempt(stream, placed)
@@ -188,7 +188,7 @@
     # One attempt.
 
     async def _attempt(
-        self, stream: ids.StreamId, placed: messages.PlacedAt
+        self, stream: ids.StreamId, placed: messages.Placement
     ) -> means_module.Whole | errors.Failure | prefill.Again | None:
         find = self._means.directory.registry.find
         release = messages.Release(stream, self._service.name)
@@ -207,7 +207,7 @@
                 if again is not None:
                     release = self._failed(release, again)
                     return again
-            result = await self._decode(stream, decode, placed.output)
+            result = await self._decode(stream, decode, placed.expected_tokens)
             if isinstance(result, prefill.Again):
                 release = self._failed(release, result)
             elif result is None:
@@ -250,7 +250,7 @@
             release.service,
             tokens=made.tokens,
             seconds=made.seconds,
-            fetched=self._reader.engine,
+            kv_source=self._reader.engine,
         )
 
     async def _decode(
@@ -262,7 +262,7 @@
         self._engine = engine.id
         self._stage = 'decode'
         prompt, most = self._sizes()
-        held = messages.Held(
+        held = messages.RunningGeneration(
             stream, self._service.name, engine.id, prompt, output, most, -1.0
         )
         self._means.ownership.hold(held, self._made)
@@ -400,15 +400,15 @@
             raise Broken(failure.detail)
         return failure
 
-    def _given_up(self, given_up: messages.GivenUp) -> errors.Failure:
+    def _given_up(self, given_up: messages.PlacementRefused) -> errors.Failure:
         if self._relay.has_reached_caller:
-            raise Broken(given_up.why)
+            raise Broken(given_up.reason)
         if not self._sends.surely_not_run:
-            return errors.Failure(errors.SEND_INTERRUPTED, given_up.why)
+            return errors.Failure(errors.SEND_INTERRUPTED, given_up.reason)
         if given_up.is_over_quota:
-            return accounts.failure(given_up.why, given_up.retry_after)
+            return accounts.failure(given_up.reason, given_up.retry_after)
         return means_module.refusal(
-            errors.NO_TIME, given_up.why, given_up.retry_after
+            errors.NO_TIME, given_up.reason, given_up.retry_after
         )
 
     def _failure(self) -> errors.Failure:
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -10,16 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Gateways find each other, and agree well enough on who decides.
-
-Each gateway writes one row at its start. The store numbers its writes, so
-the rows have an order that all see alike: who has been there longest comes
-first. The owner is the first member of that order that answers. Two
-gateways may disagree for a moment; engines then refuse what is too much,
-before they start it, and no promise rests on agreement.
-
-Beats go to the members at the front of the order only, until two of them
-answer. So each gateway has a few connections, however many there are.
+"""Membership of gateways and choice of the owner, which makes decisions.
+
+Each gateway writes one row at startup. The store numbers its writes, so all
+gateways see the rows in the same order, oldest first. The owner is the first
+member in that order that answers. Two gateways may briefly disagree; engines
+then refuse excess work before they start it, so no guarantee depends on
+agreement. Heartbeats go only to the first members, until two of them answer,
+so each gateway has a few connections regardless of the number of gateways.
 """
 
 import asyncio
@@ -35,13 +33,13 @@
 from galenahatch.gateway import frames
 from galenahatch.gateway import instruments
 from galenahatch.gateway import messages
-from galenahatch.gateway import news
 from galenahatch.gateway import notices
 from galenahatch.gateway import outcomes
 from galenahatch.gateway import quarantine
 from galenahatch.gateway import ratelimits
 from galenahatch.gateway import records
 from galenahatch.gateway import roster as rosters
+from galenahatch.gateway import updates
 from galenahatch import ids
 from galenahatch import logs
 from galenahatch.platform import store as stores
@@ -49,27 +47,31 @@
 from galenahatch import timeouts
 
 _STARTING: typing.Final = 2.0
-"""Seconds in which others that were ended at the same time are back."""
+"""Seconds in which members that stopped at the same time restart."""
 _log = logs.Log('mesh')
 
 CODEC: typing.Final = bus.Codec[frames.AnyMessage](
     frames.encode, frames.decode
 )
-_FIRST: typing.Final = (messages.Place, messages.Change, messages.Permit)
+_FIRST: typing.Final = (
+    messages.PlacementRequest,
+    messages.StageChangeRequest,
+    messages.PermitRequest,
+)
 """Messages that a gateway may send before its first beat."""
 Handler = collections.abc.Callable[[ids.MemberId, frames.AnyMessage], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Exchanges:
-    """What gateways tell each other with their beats.
+    """Components whose state gateways exchange in heartbeats.
 
     Attributes:
-        outcomes: what sends to plain upstreams came to.
-        guard: what is known of requests that end upstreams.
-        accounts: what customers use of their quotas.
-        rate_limits: that upstreams name.
-        notices: what else upstreams' answers say.
+        outcomes: results of sends to plain upstreams.
+        guard: requests that may end upstreams.
+        accounts: use of quotas by customers.
+        rate_limits: limits that upstreams announce.
+        notices: other announcements in answers of upstreams.
     """
 
     outcomes: outcomes.Exchange
@@ -125,14 +127,14 @@
         self._links: dict[ids.MemberId, bus.Link[frames.AnyMessage]] = {}
         self._peers: dict[ids.MemberId, bus.Peer] = {}
         self._names: dict[bus.Peer, ids.MemberId] = {}
-        self._asking = news.Asking(directory)
+        self._asking = updates.UpdateRequester(directory)
         self._began_at = clock.now()
         self._owner = ids.MemberId('')
         self.me = ids.MemberId(address)
         self.leaving = False
-        self.held: collections.abc.Callable[[], tuple[messages.Held, ...]] = (
-            tuple
-        )
+        self.held: collections.abc.Callable[
+            [], tuple[messages.RunningGeneration, ...]
+        ] = tuple
         self.figures: collections.abc.Callable[
             [], tuple[records.Figures, ...]
         ] = tuple
@@ -140,7 +142,7 @@
         self._connect_exchanges()
 
     def _connect_exchanges(self) -> None:
-        """Tell the parts that exchange words how others are reached."""
+        """Give the exchanging components access to the other gateways."""
         self._directory.fed_by_peers = self._roster.fed_by_peers
         self._guard.announce = self._announce
         self._accounts.announce = self._announce_used
@@ -170,8 +172,6 @@
         for link in self._links.values():
             link.close()
 
-    # Who decides.
-
     def owner(self) -> ids.MemberId:
         """Return the first member that answers; this one in the end."""
         return self._chosen(self._members.owner(self.leaving, clock.now()))
@@ -207,8 +207,6 @@
             self._owner = name
         return name
 
-    # Beats.
-
     async def _listen(self) -> None:
         suspension = clock.Suspension()
         while True:
@@ -230,7 +228,7 @@
 
     def _beat(self) -> None:
         now = clock.now()
-        message = messages.Beat(
+        message = messages.Heartbeat(
             self.me,
             self._incarnation,
             self._directory.config_version,
@@ -257,10 +255,10 @@
         self.tell_owner(message)
 
     def _part(self, now: float) -> float:
-        """Return for which part of all members this one decides.
+        """Return the share of all members for which this one decides.
 
-        One that has just started holds hardly anything of a quota, and can't
-        tell those that start beside it from those that are cut off.
+        A member that has just started has used hardly any quota, and can't
+        tell members that are starting from unreachable ones.
         """
         if now - self._began_at < _STARTING:
             return 1.0
@@ -286,9 +284,9 @@
         else:
             self.tell_owner(message)
 
-    def _announce_used(self, used: tuple[messages.Used, ...]) -> None:
+    def _announce_used(self, used: tuple[messages.QuotaUse, ...]) -> None:
         """Tell the owner, and the next one, at once what was used here."""
-        self.tell_owner(messages.Spent(used))
+        self.tell_owner(messages.QuotaUsage(used))
 
     def _drop(self, name: ids.MemberId) -> None:
         link = self._links.pop(name, None)
@@ -306,10 +304,8 @@
             )
         return link
 
-    # Messages that come in.
-
     def _from_hub(self, peer: bus.Peer, message: frames.AnyMessage) -> None:
-        if isinstance(message, messages.Beat):
+        if isinstance(message, messages.Heartbeat):
             self._meet(message.member, peer)
             self._hear(message.member, message)
             self._exchange.take(message.outcomes)
@@ -319,7 +315,7 @@
             self._guard.hear(message.suspicions)
             self.reply(
                 message.member,
-                messages.BeatBack(
+                messages.HeartbeatReply(
                     self.me,
                     self._incarnation,
                     self._directory.config_version,
@@ -350,12 +346,12 @@
     def _from_link(
         self, name: ids.MemberId, message: frames.AnyMessage
     ) -> None:
-        if isinstance(message, messages.BeatBack):
+        if isinstance(message, messages.HeartbeatReply):
             self._hear(name, message)
-            self._members.told_size(message.members)
+            self._members.told_size(message.member_count)
             if name == self._members.owner(self.leaving, clock.now()):
                 self._exchange.hear(message.outcomes)
-            self._accounts.hear(message.low)
+            self._accounts.hear(message.low_quotas)
             self._rate_limits.hear(message.rate_limits)
             self._notices.hear(message.leaving_upstreams)
             self._guard.hear(message.suspicions)
@@ -365,15 +361,17 @@
         self._take(name, message, self.send)
 
     def _hear(
-        self, name: ids.MemberId, beat: messages.Beat | messages.BeatBack
+        self,
+        name: ids.MemberId,
+        beat: messages.Heartbeat | messages.HeartbeatReply,
     ) -> None:
         """Take what a member tells of itself."""
-        order = messages.place(beat)
+        order = messages.order_version(beat)
         self._roster.told(order, messages.upstreams_version(beat))
         self._members.heard(
             name, clock.now(), beat.leaving, beat.incarnation, order
         )
-        feeds = beat.hears_store and self._asking.is_current(beat)
+        feeds = beat.reaches_store and self._asking.is_current(beat)
         self._members.told_store(name, feeds)
 
     def _meet(self, name: ids.MemberId, peer: bus.Peer) -> None:
@@ -394,33 +392,35 @@
         ],
     ) -> None:
         self._members.heard(name, clock.now())
-        if isinstance(message, messages.Ask):
+        if isinstance(message, messages.UpdateRequest):
             news = self._directory.news(message)
             if news is not None:
                 answer(name, news)
-        elif isinstance(message, messages.News):
+        elif isinstance(message, messages.Update):
             self._directory.take_news(message)
         elif isinstance(message, messages.Suspicions):
-            self._guard.hear(message.told)
+            self._guard.hear(message.suspicions)
         elif isinstance(message, messages.RateLimits):
-            self._rate_limits.hear(message.told)
-        elif isinstance(message, messages.Leaving):
+            self._rate_limits.hear(message.limits)
+        elif isinstance(message, messages.LeavingUpstreams):
             self._notices.hear(message.upstreams)
-        elif isinstance(message, messages.Spent):
+        elif isinstance(message, messages.QuotaUsage):
             self._accounts.take(message.used)
             levels = self._accounts.levels(message.used)
-            answer(name, messages.Left(levels))
-        elif isinstance(message, messages.Left):
+            answer(name, messages.QuotaLevels(levels))
+        elif isinstance(message, messages.QuotaLevels):
             self._accounts.hear(message.levels)
         else:
             self._handler(name, message)
 
-    def _compare(self, beat: messages.Beat | messages.BeatBack) -> None:
+    def _compare(
+        self, beat: messages.Heartbeat | messages.HeartbeatReply
+    ) -> None:
         """Ask for what a member knows and this one does not."""
-        ask = self._asking.question(beat)
+        ask = self._asking.request_for(beat)
         if ask is None:
             return
-        if isinstance(beat, messages.Beat):
+        if isinstance(beat, messages.Heartbeat):
             self.reply(beat.member, ask)
         else:
             self.send(beat.member, ask)
--- a/galenahatch/gateway/messages.py
+++ b/galenahatch/gateway/messages.py
@@ -32,7 +32,7 @@
     """Base of every message."""
 
 
-class Held(msgspec.Struct, frozen=True, array_like=True):
+class RunningGeneration(msgspec.Struct, frozen=True, array_like=True):
     """A generation that runs at a decode engine.
 
     Attributes:
@@ -43,11 +43,11 @@
     stream: ids.StreamId
     service: ids.ServiceName
     decode: ids.UpstreamId
-    prompt: int
-    output: int
-    most: int
-    since: float
-    made: int = 0
+    prompt_tokens: int
+    expected_tokens: int
+    max_tokens: int
+    first_event_age: float
+    tokens_generated: int = 0
 
 
 class Outcomes(msgspec.Struct, frozen=True, array_like=True):
@@ -73,21 +73,21 @@
     cleared: bool = False
 
 
-class Used(msgspec.Struct, frozen=True, array_like=True):
+class QuotaUse(msgspec.Struct, frozen=True, array_like=True):
     """What a gateway counted of a customer since its last beat."""
 
     customer: ids.CustomerName
     units: float
 
 
-class Level(msgspec.Struct, frozen=True, array_like=True):
+class QuotaLevel(msgspec.Struct, frozen=True, array_like=True):
     """What a customer may still use now; a debt if negative."""
 
     customer: ids.CustomerName
     units: float
 
 
-class Beat(Message, frozen=True, array_like=True, tag=True):
+class Heartbeat(Message, frozen=True, array_like=True, tag='Beat'):
     """A sign of life, with all that its sender runs.
 
     Attributes:
@@ -110,22 +110,22 @@
 
     member: ids.MemberId
     incarnation: int
-    config: int
-    upstreams: int
+    config_version: int
+    upstreams_version: int
     leaving: bool
-    held: tuple[Held, ...] = ()
+    running: tuple[RunningGeneration, ...] = ()
     outcomes: tuple[Outcomes, ...] = ()
     order: int = 0
-    hears_store: bool = False
+    reaches_store: bool = False
     suspicions: tuple[Suspicion, ...] = ()
-    used: tuple[Used, ...] = ()
+    used: tuple[QuotaUse, ...] = ()
     rate_limits: tuple[records.RateLimit, ...] = ()
     leaving_upstreams: tuple[ids.UpstreamId, ...] = ()
     era: int = 0
     order_era: int = 0
 
 
-class BeatBack(Message, frozen=True, array_like=True, tag=True):
+class HeartbeatReply(Message, frozen=True, array_like=True, tag='BeatBack'):
     """The answer to a beat.
 
     Attributes:
@@ -144,23 +144,23 @@
 
     member: ids.MemberId
     incarnation: int
-    config: int
-    upstreams: int
+    config_version: int
+    upstreams_version: int
     leaving: bool
-    hears_store: bool = False
-    members: int = 1
+    reaches_store: bool = False
+    member_count: int = 1
     figures: tuple[records.Figures, ...] = ()
     outcomes: tuple[Outcomes, ...] = ()
     order: int = 0
     suspicions: tuple[Suspicion, ...] = ()
-    low: tuple[Level, ...] = ()
+    low_quotas: tuple[QuotaLevel, ...] = ()
     rate_limits: tuple[records.RateLimit, ...] = ()
     leaving_upstreams: tuple[ids.UpstreamId, ...] = ()
     era: int = 0
     order_era: int = 0
 
 
-class Place(Message, frozen=True, array_like=True, tag=True):
+class PlacementRequest(Message, frozen=True, array_like=True, tag='Place'):
     """Asks for engines for a generation.
 
     Attributes:
@@ -182,25 +182,25 @@
     stream: ids.StreamId
     member: ids.MemberId
     service: ids.ServiceName
-    prompt: int
-    hint: int
-    most: int
-    start_within: float
+    prompt_tokens: int
+    length_hint: int
+    max_tokens: int
+    first_event_within: float
     end_within: float
     subject: str
     data_centre: ids.DataCentre
     avoid: tuple[ids.UpstreamId, ...] = ()
-    going_on: bool = False
-    is_read: bool = False
+    is_continuation: bool = False
+    is_prefilled: bool = False
     leave_within: float = 3.0
     longest_pause: float = 0.0
     attempt: int = 1
-    extra: int = 0
+    extra_sends: int = 0
     is_suspect: bool = False
     customer: ids.CustomerName = ids.CustomerName('')
     units: float = 0.0
     priority: int = 0
-    paused: tuple[records.Paused, ...] = ()
+    pauses: tuple[records.Paused, ...] = ()
 
 
 class Queued(Message, frozen=True, array_like=True, tag=True):
@@ -209,7 +209,7 @@
     stream: ids.StreamId
 
 
-class PlacedAt(Message, frozen=True, array_like=True, tag=True):
+class Placement(Message, frozen=True, array_like=True, tag='PlacedAt'):
     """The engines of a generation.
 
     Attributes:
@@ -220,11 +220,11 @@
     stream: ids.StreamId
     prefill: ids.UpstreamId
     decode: ids.UpstreamId
-    why: str
-    output: int = 0
+    reason: str
+    expected_tokens: int = 0
 
 
-class GivenUp(Message, frozen=True, array_like=True, tag=True):
+class PlacementRefused(Message, frozen=True, array_like=True, tag='GivenUp'):
     """There is no room in time; come back after some seconds.
 
     Attributes:
@@ -233,7 +233,7 @@
 
     stream: ids.StreamId
     retry_after: float
-    why: str
+    reason: str
     is_over_quota: bool = False
 
 
@@ -281,42 +281,42 @@
     tokens: int = 0
     seconds: float = 0.0
     failed: tuple[ids.UpstreamId, ...] = ()
-    fetched: ids.UpstreamId = ids.UpstreamId('')
+    kv_source: ids.UpstreamId = ids.UpstreamId('')
     unreachable: ids.UpstreamId = ids.UpstreamId('')
 
 
-class GivenBack(Message, frozen=True, array_like=True, tag=True):
+class QuotaRefund(Message, frozen=True, array_like=True, tag='GivenBack'):
     """A generation that was counted for a customer has not run."""
 
     customer: ids.CustomerName
     units: float
 
 
-class Spent(Message, frozen=True, array_like=True, tag=True):
+class QuotaUsage(Message, frozen=True, array_like=True, tag='Spent'):
     """Tells what customers used, ahead of the next beat."""
 
-    used: tuple[Used, ...]
+    used: tuple[QuotaUse, ...]
 
 
-class Left(Message, frozen=True, array_like=True, tag=True):
+class QuotaLevels(Message, frozen=True, array_like=True, tag='Left'):
     """The answer: what is left to them."""
 
-    levels: tuple[Level, ...]
+    levels: tuple[QuotaLevel, ...]
 
 
 class RateLimits(Message, frozen=True, array_like=True, tag=True):
     """Tells what upstreams have said of it, ahead of the next beat."""
 
-    told: tuple[records.RateLimit, ...]
+    limits: tuple[records.RateLimit, ...]
 
 
-class Leaving(Message, frozen=True, array_like=True, tag=True):
+class LeavingUpstreams(Message, frozen=True, array_like=True, tag='Leaving'):
     """Tells of upstreams that leave, ahead of the next beat."""
 
     upstreams: tuple[ids.UpstreamId, ...]
 
 
-class Permit(Message, frozen=True, array_like=True, tag=True):
+class PermitRequest(Message, frozen=True, array_like=True, tag='Permit'):
     """Asks for one request to an upstream that names a rate limit.
 
     Attributes:
@@ -329,7 +329,7 @@
     limit: records.RateLimit
 
 
-class Permitted(Message, frozen=True, array_like=True, tag=True):
+class PermitReply(Message, frozen=True, array_like=True, tag='Permitted'):
     """The answer.
 
     Attributes:
@@ -340,7 +340,7 @@
     wait: float
 
 
-class Change(Message, frozen=True, array_like=True, tag=True):
+class StageChangeRequest(Message, frozen=True, array_like=True, tag='Change'):
     """Asks a gateway that hears the store to order a change of stage."""
 
     member: ids.MemberId
@@ -348,7 +348,7 @@
     stage: upstreams.Stage
 
 
-class Changed(Message, frozen=True, array_like=True, tag=True):
+class StageChangeReply(Message, frozen=True, array_like=True, tag='Changed'):
     """What came of it: whether the engine may be changing now."""
 
     engine: ids.UpstreamId
@@ -359,22 +359,22 @@
 class Suspicions(Message, frozen=True, array_like=True, tag=True):
     """Tells of requests that may end upstreams, ahead of the next beat."""
 
-    told: tuple[Suspicion, ...]
+    suspicions: tuple[Suspicion, ...]
 
 
-class Ask(Message, frozen=True, array_like=True, tag=True):
+class UpdateRequest(Message, frozen=True, array_like=True, tag='Ask'):
     """Asks for what is newer than the sender's versions.
 
     Attributes:
         era: of `upstreams`.
     """
 
-    config: int
-    upstreams: int
+    config_version: int
+    upstreams_version: int
     era: int = 0
 
 
-class NewsRow(msgspec.Struct, frozen=True, array_like=True):
+class UpdateRow(msgspec.Struct, frozen=True, array_like=True):
     """An upstream's row in the store.
 
     Attributes:
@@ -383,11 +383,11 @@
     """
 
     key: str
-    ver: int
+    version: int
     document: bytes
 
 
-class News(Message, frozen=True, array_like=True, tag=True):
+class Update(Message, frozen=True, array_like=True, tag='News'):
     """What a gateway knows.
 
     Attributes:
@@ -402,19 +402,19 @@
 
     config: bytes
     after: int
-    upstreams: int
-    rows: tuple[NewsRow, ...]
-    is_whole: bool = False
+    upstreams_version: int
+    rows: tuple[UpdateRow, ...]
+    is_complete: bool = False
     era: int = 0
 
 
-def place(message: Beat | BeatBack) -> versions.Version:
+def order_version(message: Heartbeat | HeartbeatReply) -> versions.Version:
     """Return the place in the order that the sender of a message tells."""
     return versions.Version(message.order_era, message.order)
 
 
 def upstreams_version(
-    message: Beat | BeatBack | Ask | News,
+    message: Heartbeat | HeartbeatReply | UpdateRequest | Update,
 ) -> versions.Version:
     """Return the version up to which the sender of a message knows."""
-    return versions.Version(message.era, message.upstreams)
+    return versions.Version(message.era, message.upstreams_version)
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -175,9 +175,13 @@
 
     def _take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
         """Take a message of another gateway."""
-        if isinstance(message, messages.Change | messages.Changed):
+        if isinstance(
+            message, messages.StageChangeRequest | messages.StageChangeReply
+        ):
             self._orders.take(member, message)
-        elif isinstance(message, messages.Permit | messages.Permitted):
+        elif isinstance(
+            message, messages.PermitRequest | messages.PermitReply
+        ):
             self._rate_limits.take(member, message)
         else:
             self._ownership.take(member, message)
--- a/galenahatch/gateway/notices.py
+++ b/galenahatch/gateway/notices.py
@@ -77,7 +77,7 @@
                 )
         if head.leaving is True and self._leaves(upstream):
             self._note(upstream, 'Upstream says that it leaves.', head)
-            self.tell_owner(messages.Leaving(self.tell()))
+            self.tell_owner(messages.LeavingUpstreams(self.tell()))
         if isinstance(head.pause, float):
             self.pauses.begin(upstream, head.pause, clock.now())
             self._note(upstream, 'Pause asked for.', head, seconds=head.pause)
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -122,10 +122,12 @@
         await self._lease.prepare()
 
     def take(
-        self, member: ids.MemberId, message: messages.Change | messages.Changed
+        self,
+        member: ids.MemberId,
+        message: messages.StageChangeRequest | messages.StageChangeReply,
     ) -> None:
         """Take what another gateway asks for, or what came of it."""
-        if isinstance(message, messages.Change):
+        if isinstance(message, messages.StageChangeRequest):
             self._tasks.once(self._give_for(member, message))
             return
         if message.ordered:
@@ -135,7 +137,7 @@
                 self._failed(dispatcher, message.engine, message.stage)
 
     async def _give_for(
-        self, member: ids.MemberId, wanted: messages.Change
+        self, member: ids.MemberId, wanted: messages.StageChangeRequest
     ) -> None:
         """Give an order that another gateway decided on."""
         engine = self._directory.registry.find(wanted.engine)
@@ -143,7 +145,8 @@
         if engine is not None:
             ordered = await self._give(engine, wanted.stage)
         self._mesh.reply(
-            member, messages.Changed(wanted.engine, wanted.stage, ordered)
+            member,
+            messages.StageChangeReply(wanted.engine, wanted.stage, ordered),
         )
 
     async def _change(
@@ -163,7 +166,9 @@
         if other is not None and not self._directory.hears_store:
             _log.info('Order passed on.', engine=engine.id, member=other)
             me = self._mesh.me
-            self._mesh.send(other, messages.Change(me, engine.id, stage))
+            self._mesh.send(
+                other, messages.StageChangeRequest(me, engine.id, stage)
+            )
         elif not await self._give(engine, stage):
             self._failed(dispatcher, engine.id, stage)
 
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -48,7 +48,10 @@
 _log = logs.Log('owner')
 
 Word = (
-    messages.Queued | messages.PlacedAt | messages.GivenUp | messages.Declined
+    messages.Queued
+    | messages.Placement
+    | messages.PlacementRefused
+    | messages.Declined
 )
 Reply = collections.abc.Callable[[Word], None]
 Deliver = collections.abc.Callable[[ids.MemberId, Word], None]
@@ -102,14 +105,14 @@
     def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
         """Take a message of a gateway, this one included."""
         now = clock.now()
-        if isinstance(message, messages.Place):
+        if isinstance(message, messages.PlacementRequest):
             self._take_place(member, message, now)
-        elif isinstance(message, messages.Beat):
+        elif isinstance(message, messages.Heartbeat):
             self._budget.heard(member, now)
             self._take_held(message, now)
         elif isinstance(message, messages.Withdraw):
             self._withdraw(message.stream, now)
-        elif isinstance(message, messages.GivenBack):
+        elif isinstance(message, messages.QuotaRefund):
             self._accounts.give_back(message.customer, message.units)
         elif isinstance(
             message,
@@ -133,7 +136,7 @@
             for service, dispatcher in self._dispatchers.items()
         )
 
-    def adopt(self, back: messages.BeatBack) -> None:
+    def adopt(self, back: messages.HeartbeatReply) -> None:
         """Take what another owner has measured."""
         for told in back.figures:
             dispatcher = self._dispatcher(told.service)
@@ -162,7 +165,10 @@
         self._replies.clear()
 
     def _take_place(
-        self, member: ids.MemberId, place: messages.Place, now: float
+        self,
+        member: ids.MemberId,
+        place: messages.PlacementRequest,
+        now: float,
     ) -> None:
 
         def reply(word: Word) -> None:
@@ -170,7 +176,7 @@
 
         dispatcher = self._dispatcher(place.service)
         if dispatcher is None:
-            reply(messages.GivenUp(place.stream, 1.0, 'no_service'))
+            reply(messages.PlacementRefused(place.stream, 1.0, 'no_service'))
             return
         denied = self._accounts.grant(place.customer, place.units)
         if denied is not None:
@@ -178,7 +184,7 @@
             return
         if place.attempt == 1:
             self._budget.request(place.service, now)
-        if not self._budget.grant(place.service, place.extra, now):
+        if not self._budget.grant(place.service, place.extra_sends, now):
             reply(_without_budget(member, place))
             return
         job = _job(member, place, now)
@@ -193,20 +199,24 @@
         if place.stream in self._replies:
             reply(messages.Queued(place.stream))
 
-    def _take_held(self, beat: messages.Beat, now: float) -> None:
+    def _take_held(self, beat: messages.Heartbeat, now: float) -> None:
         by_service: dict[
             ids.ServiceName, list[tuple[ids.UpstreamId, memory.Run]]
         ] = {name: [] for name in self._dispatchers}
-        for held in beat.held:
-            starts_at = now - held.since if held.since >= 0 else now
+        for held in beat.running:
+            starts_at = (
+                now - held.first_event_age
+                if held.first_event_age >= 0
+                else now
+            )
             run = memory.Run(
                 held.stream,
                 beat.member,
-                held.prompt,
-                held.output,
-                held.most,
+                held.prompt_tokens,
+                held.expected_tokens,
+                held.max_tokens,
                 starts_at,
-                held.made,
+                held.tokens_generated,
                 now,
             )
             if self._dispatcher(held.service) is not None:
@@ -237,8 +247,8 @@
                 dispatcher.engines.failed(
                     engine, now, engine == message.unreachable
                 )
-            if message.fetched:
-                dispatcher.engines.fetched(message.fetched)
+            if message.kv_source:
+                dispatcher.engines.fetched(message.kv_source)
 
     def _dispatcher(
         self, service: ids.ServiceName
@@ -303,7 +313,7 @@
         reply = self._replies.pop(job.stream, None)
         word: Word
         if isinstance(decision, generations.Placed):
-            word = messages.PlacedAt(
+            word = messages.Placement(
                 job.stream,
                 decision.prefill or ids.UpstreamId(''),
                 decision.decode,
@@ -320,7 +330,7 @@
                 why=decision.why,
             )
         else:
-            word = messages.GivenUp(
+            word = messages.PlacementRefused(
                 job.stream, decision.retry_after, decision.why
             )
             instruments.decisions.add(1, {'outcome': 'refused'})
@@ -337,8 +347,8 @@
 
 
 def _without_budget(
-    member: ids.MemberId, place: messages.Place
-) -> messages.GivenUp:
+    member: ids.MemberId, place: messages.PlacementRequest
+) -> messages.PlacementRefused:
     """Refuse a further attempt, before anything is read for it."""
     why = 'retry budget spent'
     instruments.decisions.add(1, {'outcome': 'refused'})
@@ -348,14 +358,16 @@
         member=member,
         retry_after=_NO_BUDGET_PAUSE,
         why=why,
-        sends=place.extra,
+        sends=place.extra_sends,
     )
-    return messages.GivenUp(place.stream, _NO_BUDGET_PAUSE, why)
+    return messages.PlacementRefused(place.stream, _NO_BUDGET_PAUSE, why)
 
 
 def _without_quota(
-    member: ids.MemberId, place: messages.Place, denied: quotas.Denied
-) -> messages.GivenUp:
+    member: ids.MemberId,
+    place: messages.PlacementRequest,
+    denied: quotas.Denied,
+) -> messages.PlacementRefused:
     """Refuse a request whose customer has used its quota."""
     retry_after = denied.retry_after or _NO_BUDGET_PAUSE
     instruments.decisions.add(1, {'outcome': 'over_quota'})
@@ -367,32 +379,34 @@
         retry_after=retry_after,
         why=denied.why,
     )
-    return messages.GivenUp(place.stream, retry_after, denied.why, True)
+    return messages.PlacementRefused(
+        place.stream, retry_after, denied.why, True
+    )
 
 
 def _job(
-    member: ids.MemberId, place: messages.Place, now: float
+    member: ids.MemberId, place: messages.PlacementRequest, now: float
 ) -> generations.Job:
     """Return what a gateway asks for, in the owner's time."""
     return generations.Job(
         stream=place.stream,
         entry=member,
-        prompt=place.prompt,
-        hint=place.hint,
-        most=place.most,
+        prompt=place.prompt_tokens,
+        hint=place.length_hint,
+        most=place.max_tokens,
         arrived_at=now,
-        start_by=now + place.start_within,
+        start_by=now + place.first_event_within,
         leaves_at=now + place.leave_within,
         deadline=now + place.end_within,
         subject=place.subject,
         data_centre=place.data_centre,
         avoid=frozenset(place.avoid),
-        going_on=place.going_on,
-        is_read=place.is_read,
+        going_on=place.is_continuation,
+        is_read=place.is_prefilled,
         longest_pause=place.longest_pause,
         is_suspect=place.is_suspect,
         customer=place.customer,
         units=place.units,
         priority=place.priority,
-        paused={one.upstream: now + one.left for one in place.paused},
+        paused={one.upstream: now + one.seconds_left for one in place.pauses},
     )
--- a/galenahatch/gateway/ownership.py
+++ b/galenahatch/gateway/ownership.py
@@ -44,7 +44,7 @@
 cut owner costs a request this much and not its objective."""
 _LOOK_AGAIN: typing.Final = 0.25
 """Seconds between two looks at whether the owner still answers."""
-Found = messages.PlacedAt | messages.GivenUp
+Found = messages.Placement | messages.PlacementRefused
 
 
 @dataclasses.dataclass
@@ -87,7 +87,7 @@
         began_at: when its first event came.
     """
 
-    held: messages.Held
+    held: messages.RunningGeneration
     made: collections.abc.Callable[[], int]
     began_at: float | None = None
 
@@ -133,7 +133,7 @@
 
     def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
         """Take a message of another gateway."""
-        if isinstance(message, messages.BeatBack):
+        if isinstance(message, messages.HeartbeatReply):
             self.owner.adopt(message)
         elif isinstance(message, owners.Word):
             self._take_word(member, message)
@@ -161,7 +161,7 @@
                 if isinstance(word, messages.Queued):
                     word = await self._last_word(owner, words)
                 if isinstance(word, Found):
-                    if isinstance(word, messages.PlacedAt):
+                    if isinstance(word, messages.Placement):
                         self._placed_by[wish.stream] = owner
                     return word
                 self._tell(owner, messages.Withdraw(wish.stream))
@@ -174,29 +174,29 @@
     def _submit(self, owner: ids.MemberId, wish: Wish) -> None:
         assert self._mesh is not None
         now = clock.now()
-        message = messages.Place(
+        message = messages.PlacementRequest(
             stream=wish.stream,
             member=self._mesh.me,
             service=wish.service,
-            prompt=wish.prompt,
-            hint=wish.hint,
-            most=wish.most,
-            start_within=wish.start_by - now,
+            prompt_tokens=wish.prompt,
+            length_hint=wish.hint,
+            max_tokens=wish.most,
+            first_event_within=wish.start_by - now,
             end_within=wish.deadline - now,
             subject=wish.subject,
             data_centre=self._data_centre,
             avoid=wish.avoid,
-            going_on=wish.going_on,
-            is_read=wish.is_read,
+            is_continuation=wish.going_on,
+            is_prefilled=wish.is_read,
             leave_within=wish.leaves_at - now,
             longest_pause=wish.longest_pause,
             attempt=wish.attempt,
-            extra=wish.extra,
+            extra_sends=wish.extra,
             is_suspect=wish.is_suspect,
             customer=wish.customer,
             units=wish.units,
             priority=wish.priority,
-            paused=tuple(
+            pauses=tuple(
                 records.Paused(*item) for item in self._paused().items()
             ),
         )
@@ -229,7 +229,9 @@
                 return word
 
     def hold(
-        self, held: messages.Held, made: collections.abc.Callable[[], int]
+        self,
+        held: messages.RunningGeneration,
+        made: collections.abc.Callable[[], int],
     ) -> None:
         """Note a generation that was sent to its decode engine.
 
@@ -271,14 +273,16 @@
     def give_back(self, customer: ids.CustomerName, units: float) -> None:
         """Tell that a generation which was granted units has not run."""
         assert self._mesh is not None
-        message = messages.GivenBack(customer, units)
+        message = messages.QuotaRefund(customer, units)
         self._tell(self._mesh.owner(), message)
 
-    def _held_now(self) -> tuple[messages.Held, ...]:
+    def _held_now(self) -> tuple[messages.RunningGeneration, ...]:
         now = clock.now()
         return tuple(
             msgspec.structs.replace(
-                running.held, since=now - running.began_at, made=running.made()
+                running.held,
+                first_event_age=now - running.began_at,
+                tokens_generated=running.made(),
             )
             if running.began_at is not None
             else running.held
@@ -296,6 +300,6 @@
         words = self._asked.get(word.stream)
         if words is not None:
             words.put_nowait(word)
-        elif isinstance(word, messages.PlacedAt):
+        elif isinstance(word, messages.Placement):
             if self._placed_by.get(word.stream) != member:
                 self._tell(member, messages.Withdraw(word.stream))
--- a/galenahatch/gateway/ratelimits.py
+++ b/galenahatch/gateway/ratelimits.py
@@ -198,15 +198,17 @@
 
     def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
         """Take a question, or the answer to one."""
-        if isinstance(message, messages.Permitted):
+        if isinstance(message, messages.PermitReply):
             question = self._questions.get(message.number)
             if question is not None and not question.done():
                 question.set_result(message.wait)
-        elif isinstance(message, messages.Permit):
+        elif isinstance(message, messages.PermitRequest):
             assert self._peers is not None
             self.hear((message.limit,))
             wait = self._decide(message.limit.upstream)
-            self._peers.reply(member, messages.Permitted(message.number, wait))
+            self._peers.reply(
+                member, messages.PermitReply(message.number, wait)
+            )
 
     # Plain calls.
 
@@ -257,7 +259,9 @@
         notice = self._notices.known[upstream]
         age = max(0.0, clock.now() - notice.at)
         limit = records.RateLimit(upstream, notice.rate, age)
-        self._peers.send(owner, messages.Permit(self._peers.me, number, limit))
+        self._peers.send(
+            owner, messages.PermitRequest(self._peers.me, number, limit)
+        )
         try:
             async with timeouts.limit(_ANSWER_WITHIN):
                 return float(await question)
--- a/galenahatch/gateway/records.py
+++ b/galenahatch/gateway/records.py
@@ -67,4 +67,4 @@
     """
 
     upstream: ids.UpstreamId
-    left: float
+    seconds_left: float
--- a/galenahatch/gateway/news.py
+++ b/galenahatch/gateway/updates.py
@@ -24,7 +24,7 @@
 filled the owner's queue until nobody heard it any more."""
 
 
-class Asking:
+class UpdateRequester:
     """Decides when to ask a peer.
 
     Args:
@@ -35,21 +35,23 @@
         self._directory = directory
         self._asked_at = -1e9
 
-    def question(
-        self, beat: messages.Beat | messages.BeatBack
-    ) -> messages.Ask | None:
+    def request_for(
+        self, beat: messages.Heartbeat | messages.HeartbeatReply
+    ) -> messages.UpdateRequest | None:
         """Return what to ask the sender of a beat, if it knows more."""
         config = self._directory.config_version
         known = self._directory.upstreams_version
         told = messages.upstreams_version(beat)
-        if beat.config <= config and told <= known:
+        if beat.config_version <= config and told <= known:
             return None
         if clock.now() - self._asked_at < _ASK_EVERY:
             return None
         self._asked_at = clock.now()
-        return messages.Ask(config, known.number, known.era)
+        return messages.UpdateRequest(config, known.number, known.era)
 
-    def is_current(self, beat: messages.Beat | messages.BeatBack) -> bool:
+    def is_current(
+        self, beat: messages.Heartbeat | messages.HeartbeatReply
+    ) -> bool:
         """Return whether the sender of a beat knows the era known here.
 
         News of an earlier era tell nothing.
--- a/galenahatch/test/test_follower.py
+++ b/galenahatch/test/test_follower.py
@@ -152,9 +152,9 @@
     return directories.Directory(_Store(), tasks.Tasks(), 2.0)
 
 
-def _told(ver: int, *keys: str) -> messages.News:
-    rows = tuple(messages.NewsRow(key, ver, _ENTRY) for key in keys)
-    return messages.News(b'', -1, ver, rows)
+def _told(ver: int, *keys: str) -> messages.Update:
+    rows = tuple(messages.UpdateRow(key, ver, _ENTRY) for key in keys)
+    return messages.Update(b'', -1, ver, rows)
 
 
 def test_what_went_before_a_peer_started_is_gone() -> None:
@@ -168,7 +168,9 @@
     assert set(old.registry.known) == {'left', 'stays'}
     started = _directory()
     started.take_news(_told(5, 'stays'))
-    news = started.news(messages.Ask(0, old.upstreams_version.number))
+    news = started.news(
+        messages.UpdateRequest(0, old.upstreams_version.number)
+    )
     assert news is not None
     old.take_news(news)
     assert set(old.registry.known) == {'stays'}
--- a/galenahatch/test/test_ratelimits.py
+++ b/galenahatch/test/test_ratelimits.py
@@ -356,7 +356,7 @@
         self.me = ids.MemberId('me')
         self.size = 6
         self.sent: list[frames.AnyMessage] = []
-        self.answers: list[messages.Permitted] = []
+        self.answers: list[messages.PermitReply] = []
 
     def owner(self) -> ids.MemberId:
         """Return another gateway."""
@@ -368,7 +368,7 @@
 
     def reply(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
         """Keep an answer."""
-        assert isinstance(message, messages.Permitted)
+        assert isinstance(message, messages.PermitReply)
         self.answers.append(message)
 
     def tell_owner(self, message: frames.AnyMessage) -> None:
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -178,13 +178,13 @@
 
 def _news(
     era: int, ver: int, *keys: str, after: int | None = None
-) -> messages.News:
+) -> messages.Update:
     told = tuple(
-        messages.NewsRow(row.key, row.ver, row.value)
+        messages.UpdateRow(row.key, row.ver, row.value)
         for row in _rows(*keys, ver=ver)
     )
     is_whole = after is None
-    return messages.News(b'', after or -1, ver, told, is_whole, era)
+    return messages.Update(b'', after or -1, ver, told, is_whole, era)
 
 
 def _knows(era: int, ver: int, *keys: str) -> directories.Directory:
@@ -209,7 +209,7 @@
         (_news(0, 99, 'i-3', after=40), {'i-1', 'i-2'}),
     ],
 )
-def test_peers_tell_eras(news: messages.News, known: set[str]) -> None:
+def test_peers_tell_eras(news: messages.Update, known: set[str]) -> None:
     """Of a later era counts what is whole, of an earlier one nothing."""
     gateway = _knows(1, 40, 'i-1', 'i-2')
     gateway.take_news(news)
@@ -227,8 +227,8 @@
     """What has gone since the restore can't be told to it row by row."""
     era, ver = asked
     gateway = _knows(2, 5, 'i-1')
-    news = gateway.news(messages.Ask(0, ver, era))
-    assert (news.is_whole if news else None) is told
+    news = gateway.news(messages.UpdateRequest(0, ver, era))
+    assert (news.is_complete if news else None) is told
 
 
 @pytest.mark.parametrize(
