--- a/bench/restores.py
+++ b/bench/restores.py
@@ -193,9 +193,9 @@
         version = versions.Version(era, store.ver)
         is_gone = not versions.NEVER < self._feed <= version
         if is_gone or self._feed.era != era:
-            self.entries.take_all(store.listed(), version)
+            self.entries.replace_all(store.listed(), version)
         elif rows := store.changed(self._feed.number):
-            self.entries.take_some(rows, version)
+            self.entries.apply_changes(rows, version)
         self._feed = version
 
     def ask(self, peer: '_Gateway') -> None:
@@ -204,9 +204,9 @@
         known = self.entries.version
         if peer.entries.version > known:
             question = messages.UpdateRequest(0, known.number, known.era)
-            news = peer.entries.news(question, b'')
+            news = peer.entries.update_for(question, b'')
             if news is not None:
-                self.entries.take_news(news)
+                self.entries.apply_update(news)
 
     def used(self, now: float) -> set[str]:
         """Return the upstreams that get new work."""
@@ -250,7 +250,7 @@
             self._happen()
             self._tell()
             for number, gateway in enumerate(self._gateways):
-                gateway.entries.settle()
+                gateway.entries.accept_settled()
                 used = gateway.used(self._now)
                 late[number] += _STEP * bool(used & self._left())
                 without[number] += _STEP * (not used)
--- a/galenahatch/gateway/connections.py
+++ b/galenahatch/gateway/connections.py
@@ -30,7 +30,7 @@
 from galenahatch.gateway import settings
 from galenahatch import timeouts
 
-_BACKLOG: typing.Final = 1024
+_LISTEN_BACKLOG: typing.Final = 1024
 
 
 class _Connection(web.RequestHandler):
@@ -50,16 +50,16 @@
         anyone to read it, and it does not tell idle ones from those whose
         request was read just now.
         """
-        if not self._waits_for_request or self._messages:
+        if not self._is_awaiting_request or self._messages:
             return False
-        return not self._head_begun and not self._unread
+        return not self._head_begun and not self._has_unread_bytes
 
     @property
-    def _waits_for_request(self) -> bool:
+    def _is_awaiting_request(self) -> bool:
         return self._waiter is not None and not self._waiter.done()
 
     @property
-    def _unread(self) -> bool:
+    def _has_unread_bytes(self) -> bool:
         """Whether bytes of the caller wait at the socket."""
         transport = self.transport
         if transport is None or transport.is_closing():
@@ -69,7 +69,7 @@
     def data_received(self, data: bytes) -> None:
         """Read on, and note whether a head has come in part."""
         # Else it is a body, or follows a request that is being answered.
-        is_head = self._waits_for_request
+        is_head = self._is_awaiting_request
         known = self._request_count
         super().data_received(data)
         self._head_begun = is_head and self._request_count == known
@@ -92,7 +92,7 @@
     ) -> None:
         super().__init__(handler, handler_cancellation=True)
         self._limits = limits
-        self._listening: asyncio.Server | None = None
+        self._listener: asyncio.Server | None = None
 
     def __call__(self) -> _Connection:
         """Return the protocol of a new connection."""
@@ -109,11 +109,15 @@
 
     async def listen(self, where: settings.Address) -> None:
         """Take connections at an address."""
-        self._listening = await self._loop.create_server(
-            self, where.host, where.port, backlog=_BACKLOG, reuse_address=True
+        self._listener = await self._loop.create_server(
+            self,
+            where.host,
+            where.port,
+            backlog=_LISTEN_BACKLOG,
+            reuse_address=True,
         )
 
-    async def leave(self, is_late: bool) -> bool:
+    async def drain(self, is_late: bool) -> bool:
         """Close what no caller waits at; return whether nothing is left.
 
         To be called again until it is: what waits is read in between, answers
@@ -124,25 +128,27 @@
         Args:
             is_late: whether to take no further callers in any case.
         """
-        if not self._is_waited_at and (is_late or not self.connections):
+        if not self._has_pending_connections and (
+            is_late or not self.connections
+        ):
             self.stop_listening()
         self._close_idle()
         # One that was accepted just before is made known on the next turn.
         await timeouts.look_around()
-        return self._listening is None and not self.connections
+        return self._listener is None and not self.connections
 
     def stop_listening(self) -> None:
         """Take no connections any more."""
-        if self._listening is not None:
-            self._listening.close()
-            self._listening = None
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
 
     @property
-    def _is_waited_at(self) -> bool:
+    def _has_pending_connections(self) -> bool:
         """Whether callers wait for their connections to be accepted."""
-        if self._listening is None:
+        if self._listener is None:
             return False
-        return any(_is_readable(one) for one in self._listening.sockets)
+        return any(_is_readable(one) for one in self._listener.sockets)
 
     def _close_idle(self) -> None:
         for connection in self.connections:
--- a/galenahatch/gateway/means.py
+++ b/galenahatch/gateway/context.py
@@ -30,22 +30,22 @@
 from galenahatch.gateway import sender as senders
 from galenahatch import tasks
 
-_LEAST_WAIT: typing.Final = 0.05
+_MIN_RETRY_AFTER_S: typing.Final = 0.05
 """Shortest time after which a refused caller is asked to come back."""
 
-_LEAST_PATIENCE: typing.Final = 2.0
+_MIN_PATIENCE_S: typing.Final = 2.0
 _PATIENCE_OBJECTIVES: typing.Final = 4.0
 _PATIENCE_PAUSES: typing.Final = 8.0
 """Callers leave a stream that is silent for the longest of: these seconds,
 these objectives, these pauses."""
 
-_TIMER_EARLY: typing.Final = 0.01
+_TIMER_TOLERANCE_S: typing.Final = 0.01
 """Seconds by which a timer of the event loop may be early; it counts from
 the last time that the loop looked at the clock."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Means:
+class Context:
     """Shared by all requests of a process."""
 
     directory: directories.Directory
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Whole:
+class CompleteAnswer:
     """A whole answer of an upstream."""
 
     head: calls.AnswerHead
@@ -72,11 +72,11 @@
     """Where a stream goes: the caller's connection."""
 
     @property
-    def begun(self) -> bool:
+    def is_head_sent(self) -> bool:
         """Whether the caller has had the head of the answer."""
         ...
 
-    async def begin(self, head: calls.AnswerHead) -> None:
+    async def send_head(self, head: calls.AnswerHead) -> None:
         """Send the head."""
         ...
 
@@ -85,7 +85,7 @@
         ...
 
 
-def end_by(call: calls.Call, route: routes.Route) -> float:
+def answer_deadline(call: calls.Call, route: routes.Route) -> float:
     """Return the moment at which a request must be answered."""
     patience = route.timeout
     if call.patience is not None:
@@ -93,10 +93,10 @@
     return call.arrived_at + patience
 
 
-def leaves_at(call: calls.Call, route: routes.Route) -> float:
+def abandonment_time(call: calls.Call, route: routes.Route) -> float:
     """Return the moment at which a caller leaves without a first event."""
     patience = max(
-        _LEAST_PATIENCE,
+        _MIN_PATIENCE_S,
         _PATIENCE_OBJECTIVES * route.objective,
         _PATIENCE_PAUSES * route.longest_pause,
     )
@@ -108,18 +108,18 @@
     return route.priority if call.priority is None else call.priority
 
 
-def left(moment: float) -> float:
+def seconds_until(moment: float) -> float:
     """Return the seconds until a moment."""
     return moment - clock.now()
 
 
-def over(moment: float) -> bool:
+def has_passed(moment: float) -> bool:
     """Return whether a moment has come; timers may fire a little early."""
-    return left(moment) <= _TIMER_EARLY
+    return seconds_until(moment) <= _TIMER_TOLERANCE_S
 
 
-def refusal(
+def retryable_failure(
     reason: errors.Reason, detail: str, retry_after: float
 ) -> errors.Failure:
     """Return a failure that tells when to come back."""
-    return errors.Failure(reason, detail, max(_LEAST_WAIT, retry_after))
+    return errors.Failure(reason, detail, max(_MIN_RETRY_AFTER_S, retry_after))
--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -40,7 +40,7 @@
 from galenahatch.platform import store as stores
 from galenahatch import tasks
 
-_HEARD_SLACK: typing.Final = 1.0
+_ANSWER_SLACK_S: typing.Final = 1.0
 _log = logs.Log('directory')
 
 
@@ -59,17 +59,19 @@
         store: stores.Store,
         background: tasks.Tasks,
         drain: float,
-        heartbeat: float = entries_module.HEARTBEAT,
+        heartbeat: float = entries_module.HEARTBEAT_INTERVAL_S,
     ) -> None:
         self._tasks = background
-        self._listeners: list[collections.abc.Callable[[], None]] = []
+        self._change_listeners: list[collections.abc.Callable[[], None]] = []
         self._document = b''
         self.config: routes.Configuration | None = None
-        self.table = routes.RouteTable(())
-        self.entries = entries_module.Entries(drain, heartbeat, self._changed)
-        self.entries.on_start = self._started
+        self.route_table = routes.RouteTable(())
+        self.entries = entries_module.Entries(
+            drain, heartbeat, self._notify_change
+        )
+        self.entries.on_restart = self._notify_restart
         self.registry = self.entries.registry
-        self._starts: list[
+        self._restart_listeners: list[
             collections.abc.Callable[[ids.UpstreamId], None]
         ] = []
         self.fed_by_peers: collections.abc.Callable[[], bool] = lambda: False
@@ -78,17 +80,17 @@
             store,
             self.outage,
             documents.CONFIG_TABLE,
-            self._take_config,
-            self._take_config,
-            idle=lambda: self.ready and self.fed_by_peers(),
+            self._apply_config_rows,
+            self._apply_config_rows,
+            is_idle=lambda: self.ready and self.fed_by_peers(),
         )
         self._upstream_feed = followers.Follower(
             store,
             self.outage,
             documents.UPSTREAM_TABLE,
-            self.entries.take_all,
-            self.entries.take_some,
-            idle=lambda: self.ready and self.fed_by_peers(),
+            self.entries.replace_all,
+            self.entries.apply_changes,
+            is_idle=lambda: self.ready and self.fed_by_peers(),
         )
 
     @property
@@ -116,24 +118,25 @@
         self._tasks.keep('restores', self.entries.run)
 
     @property
-    def hears_store(self) -> bool:
+    def reaches_store(self) -> bool:
         """Whether the store has told the newest changes just now."""
         heard_at = min(
-            self._config_feed.heard_at, self._upstream_feed.heard_at
+            self._config_feed.last_answer_at,
+            self._upstream_feed.last_answer_at,
         )
-        return clock.now() - heard_at < followers.FEED_WAIT + _HEARD_SLACK
+        return clock.now() - heard_at < followers.LONG_POLL_S + _ANSWER_SLACK_S
 
     def on_change(self, listener: collections.abc.Callable[[], None]) -> None:
         """Call a function after each change."""
-        self._listeners.append(listener)
+        self._change_listeners.append(listener)
 
-    def on_start(
+    def on_restart(
         self, listener: collections.abc.Callable[[ids.UpstreamId], None]
     ) -> None:
         """Call a function with each start that follows another one."""
-        self._starts.append(listener)
+        self._restart_listeners.append(listener)
 
-    def restarted(
+    def record_restart(
         self,
         upstream: ids.UpstreamId,
         born: int,
@@ -146,15 +149,15 @@
         """
         later = self.registry.restarted(upstream, born, stage, clock.now())
         if later is not None:
-            self.entries.note_start(later.id, upstream, 'report')
-            self._changed()
+            self.entries.report_restart(later.id, upstream, 'report')
+            self._notify_change()
         return later
 
-    def told_leaving(self, upstream: ids.UpstreamId) -> bool:
+    def mark_leaving(self, upstream: ids.UpstreamId) -> bool:
         """Take that an upstream said so itself; return whether it is news."""
         if not self.registry.told_leaving(upstream, clock.now()):
             return False
-        self._changed()
+        self._notify_change()
         return True
 
     def service(self, name: ids.ServiceName) -> routes.Service | None:
@@ -165,37 +168,39 @@
 
     # News of peers.
 
-    def news(self, ask: messages.UpdateRequest) -> messages.Update | None:
+    def update_for(
+        self, ask: messages.UpdateRequest
+    ) -> messages.Update | None:
         """Return what is newer here than at a peer, if anything is."""
         config = b''
         if self.config_version > ask.config_version:
             config = zlib.compress(self._document)
-        return self.entries.news(ask, config)
+        return self.entries.update_for(ask, config)
 
-    def take_news(self, news: messages.Update) -> None:
+    def apply_update(self, news: messages.Update) -> None:
         """Take what a peer knows, if it is newer."""
         if news.config:
-            self._take_compressed(news.config)
-        self.entries.take_news(news)
+            self._apply_compressed(news.config)
+        self.entries.apply_update(news)
 
-    def _take_compressed(self, config: bytes) -> None:
+    def _apply_compressed(self, config: bytes) -> None:
         try:
             document = zlib.decompress(config)
         except zlib.error as error:
             _log.error('Bad news kept out.', detail=str(error))
             return
-        self._take_document(document, 'peer')
+        self._apply_document(document, 'peer')
 
     # News of the store.
 
-    def _take_config(
+    def _apply_config_rows(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         for row in rows:
             if row.key == documents.CONFIG_KEY and not row.removed:
-                self._take_document(row.value, 'store')
+                self._apply_document(row.value, 'store')
 
-    def _take_document(self, document: bytes, source: str) -> None:
+    def _apply_document(self, document: bytes, source: str) -> None:
         config = documents.configuration(document)
         if isinstance(config, errors.Failure):
             _log.error(
@@ -209,19 +214,19 @@
             return
         self._document = document
         self.config = config
-        self.table = routes.RouteTable(config.routes)
+        self.route_table = routes.RouteTable(config.routes)
         _log.info(
             'Configuration in force.',
             version=config.version,
             routes=len(config.routes),
             source=source,
         )
-        self._changed()
+        self._notify_change()
 
-    def _started(self, upstream: ids.UpstreamId) -> None:
-        for listener in self._starts:
+    def _notify_restart(self, upstream: ids.UpstreamId) -> None:
+        for listener in self._restart_listeners:
             listener(upstream)
 
-    def _changed(self) -> None:
-        for listener in self._listeners:
+    def _notify_change(self) -> None:
+        for listener in self._change_listeners:
             listener()
--- a/galenahatch/gateway/entries.py
+++ b/galenahatch/gateway/entries.py
@@ -34,16 +34,16 @@
 from galenahatch.platform import documents
 from galenahatch.platform import store as stores
 
-HEARTBEAT: typing.Final = 1.2
+HEARTBEAT_INTERVAL_S: typing.Final = 1.2
 """Seconds between two writes of an entry where nobody says."""
-_SETTLE_EVERY: typing.Final = 0.25
+_SETTLE_INTERVAL_S: typing.Final = 0.25
 _log = logs.Log('directory')
 
-Changed = collections.abc.Callable[[], None]
-Started = collections.abc.Callable[[ids.UpstreamId], None]
+ChangeCallback = collections.abc.Callable[[], None]
+RestartCallback = collections.abc.Callable[[ids.UpstreamId], None]
 
 
-class _Entry(typing.NamedTuple):
+class _KnownEntry(typing.NamedTuple):
     """An entry as the store has it.
 
     Attributes:
@@ -71,19 +71,19 @@
     """
 
     def __init__(
-        self, drain: float, heartbeat: float, changed: Changed
+        self, drain: float, heartbeat: float, on_change: ChangeCallback
     ) -> None:
-        self._changed = changed
+        self._on_change = on_change
         self.registry = upstreams.Registry(drain)
-        self.on_start: Started = lambda upstream: None
-        self._rows: dict[str, _Entry] = {}
+        self.on_restart: RestartCallback = lambda upstream: None
+        self._entries: dict[str, _KnownEntry] = {}
         self._unusable: dict[str, str] = {}
         self._version = versions.NEVER
         # Version of the first list of the newest era: what was gone before
         # is not known.
-        self._knows_since = versions.NEVER
+        self._complete_since = versions.NEVER
         self._unsettled = restores.Unsettled(heartbeat)
-        self._restored = asyncio.Event()
+        self._restore_seen = asyncio.Event()
 
     @property
     def version(self) -> versions.Version:
@@ -92,7 +92,7 @@
 
     # News of peers.
 
-    def news(
+    def update_for(
         self, ask: messages.UpdateRequest, config: bytes
     ) -> messages.Update | None:
         """Return what is newer here than at a peer, if anything is.
@@ -108,13 +108,13 @@
         asked = messages.upstreams_version(ask)
         if not config and self._version <= asked:
             return None
-        is_whole = asked < self._knows_since
+        is_whole = asked < self._complete_since
         after = -1 if is_whole else ask.upstreams_version
         rows: tuple[messages.UpdateRow, ...] = ()
         if self._version > asked:
             rows = tuple(
                 messages.UpdateRow(key, row.number, row.document or b'')
-                for key, row in self._rows.items()
+                for key, row in self._entries.items()
                 if row.number > after
             )
         return messages.Update(
@@ -126,7 +126,7 @@
             self._version.era,
         )
 
-    def take_news(self, news: messages.Update) -> None:
+    def apply_update(self, news: messages.Update) -> None:
         """Take what a peer knows, if it is newer."""
         version = messages.upstreams_version(news)
         if version <= self._version:
@@ -138,13 +138,13 @@
         after = versions.Version(news.era, news.after)
         if news.is_complete:
             current = [row for row in rows if not row.removed]
-            self.take_all(current, version)
+            self.replace_all(current, version)
         elif after <= self._version:
-            self.take_some(rows, version)
+            self.apply_changes(rows, version)
 
     # News of the store.
 
-    def take_all(
+    def replace_all(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         """Take the whole list, as of a version."""
@@ -152,35 +152,37 @@
         if not self._advance(rows, version):
             return
         if is_restored:
-            self._compare(rows, version)
+            self._compare_with_restored(rows, version)
         current = {row.key for row in rows}
-        for key in self._rows:
+        for key in self._entries:
             if key not in current:
-                self._rows[key] = _Entry(version.number)
+                self._entries[key] = _KnownEntry(version.number)
         for row in rows:
-            self._rows[row.key] = _Entry(row.ver, row.value)
+            self._entries[row.key] = _KnownEntry(row.ver, row.value)
         believed = [
             row for row in rows if not self._unsettled.doubts(row.key, row.ver)
         ]
         for row in believed:
             self._unsettled.changed(row.key)
-        found = [entry for row in believed if (entry := self._usable(row))]
+        found = [
+            entry for row in believed if (entry := self._decode_usable(row))
+        ]
         before = {
             entry.id: self.registry.latest(incarnations.instance(entry.id))
             for entry in found
         }
         self.registry.replace(found, clock.now(), self._unsettled.kept)
         for key, earlier in before.items():
-            self.note_start(key, earlier, 'store')
+            self.report_restart(key, earlier, 'store')
         _log.info(
             'Upstreams read.',
             count=len(found),
             era=version.era,
             ver=version.number,
         )
-        self._changed()
+        self._on_change()
 
-    def take_some(
+    def apply_changes(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         """Take entries that have changed up to a version."""
@@ -188,17 +190,17 @@
             return
         for row in rows:
             number = row.ver or version.number
-            known = self._rows.get(row.key, _Entry())
+            known = self._entries.get(row.key, _KnownEntry())
             if number < known.number:
                 continue
             self._unsettled.changed(row.key)
             if row.removed:
-                self._take_removal(row.key, number)
+                self._apply_removal(row.key, number)
             else:
                 since = known.since if known.document is not None else row.ver
-                self._rows[row.key] = _Entry(row.ver, row.value, since)
-                self._take_entry(row)
-        self._changed()
+                self._entries[row.key] = _KnownEntry(row.ver, row.value, since)
+                self._apply_entry(row)
+        self._on_change()
 
     def _advance(
         self, rows: list[stores.Row], version: versions.Version
@@ -216,24 +218,24 @@
             )
             return False
         if known == versions.NEVER or version.era != known.era:
-            self._knows_since = version
+            self._complete_since = version
         self._version = version
         return True
 
-    def _take_removal(self, key: str, number: int) -> None:
-        self._rows[key] = _Entry(number)
+    def _apply_removal(self, key: str, number: int) -> None:
+        self._entries[key] = _KnownEntry(number)
         self._unusable.pop(key, None)
         if self.registry.remove(ids.InstanceId(key), clock.now()):
             _log.info('Upstream gone.', upstream=key, ver=number)
 
-    def _take_entry(self, row: stores.Row) -> None:
-        entry = self._usable(row)
+    def _apply_entry(self, row: stores.Row) -> None:
+        entry = self._decode_usable(row)
         if entry is None:
             return
         earlier = self.registry.latest(ids.InstanceId(row.key))
         if not self.registry.put(entry, clock.now()):
             return
-        self.note_start(entry.id, earlier, 'store')
+        self.report_restart(entry.id, earlier, 'store')
         _log.info(
             'Upstream changed.',
             upstream=entry.id,
@@ -244,7 +246,7 @@
             ver=row.ver,
         )
 
-    def _usable(self, row: stores.Row) -> upstreams.Upstream | None:
+    def _decode_usable(self, row: stores.Row) -> upstreams.Upstream | None:
         """Return the upstream that an entry names, if it can be used."""
         entry = documents.upstream(row.key, row.value)
         if not isinstance(entry, errors.Failure):
@@ -257,7 +259,7 @@
             _log.warning('Upstream withdrawn.', upstream=row.key, ver=row.ver)
         return None
 
-    def note_start(
+    def report_restart(
         self,
         upstream: ids.UpstreamId,
         earlier: ids.UpstreamId | None,
@@ -272,11 +274,11 @@
             before=earlier,
             source=source,
         )
-        self.on_start(upstream)
+        self.on_restart(upstream)
 
     # What a restore leaves unsettled.
 
-    def _compare(
+    def _compare_with_restored(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         """Find what is known better than the list of a restored store."""
@@ -286,7 +288,7 @@
                 row.document is None or key in self._unusable,
                 row.since,
             )
-            for key, row in self._rows.items()
+            for key, row in self._entries.items()
         }
         listed = {row.key: row.ver for row in rows}
         now = clock.now()
@@ -300,25 +302,25 @@
             doubted=doubted,
             kept=len(self._unsettled.kept),
         )
-        self._restored.set()
+        self._restore_seen.set()
 
     async def run(self) -> None:
         """Believe what restored stores list, each time when it is due."""
         while True:
-            await self._restored.wait()
-            await asyncio.sleep(_SETTLE_EVERY)
-            self.settle()
+            await self._restore_seen.wait()
+            await asyncio.sleep(_SETTLE_INTERVAL_S)
+            self.accept_settled()
             if self._unsettled.is_empty:
-                self._restored.clear()
+                self._restore_seen.clear()
 
-    def settle(self) -> None:
+    def accept_settled(self) -> None:
         """Believe what a restored store has listed for long enough."""
         believed, lost = self._unsettled.settle(clock.now())
         for key in lost:
-            self._take_removal(key, self._rows[key].number)
+            self._apply_removal(key, self._entries[key].number)
         for key in believed:
-            row = self._rows[key]
+            row = self._entries[key]
             if row.document is not None:
-                self._take_entry(stores.Row(key, row.number, row.document))
+                self._apply_entry(stores.Row(key, row.number, row.document))
         if believed or lost:
-            self._changed()
+            self._on_change()
--- a/galenahatch/gateway/follower.py
+++ b/galenahatch/gateway/follower.py
@@ -36,25 +36,27 @@
 from galenahatch import logs
 from galenahatch.platform import store as stores
 
-FEED_WAIT: typing.Final = 3.0
+LONG_POLL_S: typing.Final = 3.0
 """Seconds for which a feed call waits at the store. Calls are paid for; but
 a call that began when the store fell silent ends only then, and a change
 must be in force about five seconds after the store is back."""
-_FIRST_PAUSE: typing.Final = 0.15
-LONGEST_PAUSE: typing.Final = 0.8
+_MIN_RETRY_DELAY_S: typing.Final = 0.15
+MAX_RETRY_DELAY_S: typing.Final = 0.8
 """Seconds between tries while the store fails: each refused call is paid
 for, and a configuration must be in force about two seconds after the store
 is back."""
-GATHER: typing.Final = 0.2
+BATCH_DELAY_S: typing.Final = 0.2
 """Seconds between two calls of a feed that brings changes: those that come
 close together, as when all upstreams start, cost one call. A tenth of the
 shortest bound on a change."""
-_IDLE_CHECK: typing.Final = 0.25
+_IDLE_CHECK_INTERVAL_S: typing.Final = 0.25
 _log = logs.Log('directory')
 
-_JITTER: typing.Final = (0.7, 1.3)
+_JITTER_RANGE: typing.Final = (0.7, 1.3)
 
-Take = collections.abc.Callable[[list[stores.Row], versions.Version], None]
+RowsCallback = collections.abc.Callable[
+    [list[stores.Row], versions.Version], None
+]
 
 
 class Outage:
@@ -65,37 +67,37 @@
     """
 
     def __init__(self) -> None:
-        self._asking: Follower | None = None
-        self._pause = 0.0
-        self._over = asyncio.Event()
-        self.longest_pause: collections.abc.Callable[[], float] = lambda: (
-            LONGEST_PAUSE
+        self._probing_feed: Follower | None = None
+        self._delay = 0.0
+        self._ended = asyncio.Event()
+        self.max_retry_delay: collections.abc.Callable[[], float] = lambda: (
+            MAX_RETRY_DELAY_S
         )
 
-    async def wait(self, feed: 'Follower') -> None:
+    async def wait_to_retry(self, feed: 'Follower') -> None:
         """Return when a feed whose call failed should call again."""
-        if self._asking not in (None, feed):
-            await self._wait_for_other()
+        if self._probing_feed not in (None, feed):
+            await self._wait_for_probing_feed()
             return
-        self._asking = feed
-        longest = self.longest_pause()
-        self._pause = min(max(_FIRST_PAUSE, 2 * self._pause), longest)
-        await asyncio.sleep(self._pause * random.uniform(*_JITTER))
+        self._probing_feed = feed
+        longest = self.max_retry_delay()
+        self._delay = min(max(_MIN_RETRY_DELAY_S, 2 * self._delay), longest)
+        await asyncio.sleep(self._delay * random.uniform(*_JITTER_RANGE))
 
-    def answered(self, feed: 'Follower') -> None:
+    def record_answer(self, feed: 'Follower') -> None:
         """Note that a feed's call was answered, or that it calls no more."""
-        if self._asking is not feed:
+        if self._probing_feed is not feed:
             return
-        self._asking = None
-        self._pause = 0.0
-        self._over.set()
-        self._over = asyncio.Event()
+        self._probing_feed = None
+        self._delay = 0.0
+        self._ended.set()
+        self._ended = asyncio.Event()
 
-    async def _wait_for_other(self) -> None:
+    async def _wait_for_probing_feed(self) -> None:
         # Only a part of the store may be away: not for ever.
         try:
-            async with asyncio.timeout(2 * self.longest_pause()):
-                await self._over.wait()
+            async with asyncio.timeout(2 * self.max_retry_delay()):
+                await self._ended.wait()
         except asyncio.TimeoutError:
             return
 
@@ -118,22 +120,22 @@
         store: stores.Store,
         outage: Outage,
         table: str,
-        take_all: Take,
-        take_some: Take,
-        gather: float = GATHER,
-        idle: collections.abc.Callable[[], bool] = lambda: False,
+        on_all_rows: RowsCallback,
+        on_changed_rows: RowsCallback,
+        batch_delay: float = BATCH_DELAY_S,
+        is_idle: collections.abc.Callable[[], bool] = lambda: False,
     ) -> None:
-        self._gather = gather
-        self._idle = idle
+        self._batch_delay = batch_delay
+        self._is_idle = is_idle
         self._store = store
         self._outage = outage
         self._table = table
-        self._take_all = take_all
-        self._take_some = take_some
+        self._on_all_rows = on_all_rows
+        self._on_changed_rows = on_changed_rows
         self._version = versions.NEVER
-        self._away = False
+        self._is_failing = False
         self._failed_at = 0.0
-        self.heard_at = -1e9
+        self.last_answer_at = -1e9
 
     @property
     def version(self) -> versions.Version:
@@ -143,22 +145,22 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            while self._version != versions.NEVER and self._idle():
-                self._outage.answered(self)
-                await asyncio.sleep(_IDLE_CHECK)
+            while self._version != versions.NEVER and self._is_idle():
+                self._outage.record_answer(self)
+                await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
             found = await self._read()
             if isinstance(found, errors.Failure):
-                await self._failed(found)
+                await self._record_failure(found)
                 continue
-            self._well()
+            self._record_success()
             if found.rows:
-                await asyncio.sleep(self._gather)
+                await asyncio.sleep(self._batch_delay)
 
     async def _read(self) -> stores.Rows | errors.Failure:
         if self._version == versions.NEVER:
             return await self._read_all()
         # After a failure, ask whether the store is back, and do not wait.
-        wait = 0.0 if self._away else FEED_WAIT
+        wait = 0.0 if self._is_failing else LONG_POLL_S
         after = self._version.number
         found = await self._store.changes(self._table, after, wait)
         if isinstance(found, errors.Failure):
@@ -176,32 +178,32 @@
             return await self._read_all()
         self._version = max(self._version, found.version)
         if found.rows:
-            self._take_some(found.rows, found.version)
+            self._on_changed_rows(found.rows, found.version)
         return found
 
     async def _read_all(self) -> stores.Rows | errors.Failure:
         found = await self._store.rows(self._table)
         if not isinstance(found, errors.Failure):
             self._version = found.version
-            self._take_all(found.rows, found.version)
+            self._on_all_rows(found.rows, found.version)
         return found
 
-    def _well(self) -> None:
-        if self._away:
+    def _record_success(self) -> None:
+        if self._is_failing:
             _log.info(
                 'Store regained.',
                 table=self._table,
                 away=clock.now() - self._failed_at,
             )
-        self._away = False
-        self._outage.answered(self)
-        self.heard_at = clock.now()
+        self._is_failing = False
+        self._outage.record_answer(self)
+        self.last_answer_at = clock.now()
 
-    async def _failed(self, failure: errors.Failure) -> None:
+    async def _record_failure(self, failure: errors.Failure) -> None:
         if failure.reason is errors.HISTORY_GONE:
             return
-        if not self._away:
-            self._away = True
+        if not self._is_failing:
+            self._is_failing = True
             self._failed_at = clock.now()
             instruments.store_losses.add(1)
             _log.warning(
@@ -210,4 +212,4 @@
                 reason=failure.reason.name,
                 detail=failure.detail,
             )
-        await self._outage.wait(self)
+        await self._outage.wait_to_retry(self)
--- a/galenahatch/gateway/frames.py
+++ b/galenahatch/gateway/frames.py
@@ -20,7 +20,7 @@
 from galenahatch.gateway import messages
 
 _VERSION: typing.Final = 1
-_MOST_BYTES: typing.Final = 4 * 1024 * 1024
+_MAX_BYTES: typing.Final = 4 * 1024 * 1024
 
 AnyMessage = (
     messages.Heartbeat
@@ -48,19 +48,19 @@
     | messages.Update
 )
 
-_PREFIX: typing.Final = bytes([_VERSION])
+_VERSION_PREFIX: typing.Final = bytes([_VERSION])
 _ENCODER: typing.Final = msgspec.msgpack.Encoder()
 _DECODER: typing.Final = msgspec.msgpack.Decoder(AnyMessage)
 
 
 def encode(message: AnyMessage) -> bytes:
     """Return the frame of a message."""
-    return _PREFIX + _ENCODER.encode(message)
+    return _VERSION_PREFIX + _ENCODER.encode(message)
 
 
 def decode(frame: bytes) -> AnyMessage | errors.Failure:
     """Return the message of a frame, or why there is none."""
-    if not frame or len(frame) > _MOST_BYTES:
+    if not frame or len(frame) > _MAX_BYTES:
         return errors.Failure(errors.BAD_FRAME, f'{len(frame)} bytes')
     if frame[0] != _VERSION:
         return errors.Failure(errors.BAD_FRAME, f'version {frame[0]}')
--- a/galenahatch/gateway/front.py
+++ b/galenahatch/gateway/front.py
@@ -31,9 +31,9 @@
 from galenahatch.core import routes
 from galenahatch import errors
 from galenahatch.gateway import calls
+from galenahatch.gateway import context as contexts
 from galenahatch.gateway import generation
 from galenahatch.gateway import instruments
-from galenahatch.gateway import means as means_module
 from galenahatch.gateway import plain
 from galenahatch import ids
 from galenahatch import logs
@@ -63,7 +63,7 @@
         self._response: web.StreamResponse | None = None
 
     @property
-    def begun(self) -> bool:
+    def is_head_sent(self) -> bool:
         """Whether the caller has had the head of the answer."""
         return self._response is not None
 
@@ -72,7 +72,7 @@
         """The answer, once it has begun."""
         return self._response
 
-    async def begin(self, head: calls.AnswerHead) -> None:
+    async def send_head(self, head: calls.AnswerHead) -> None:
         """Send the head."""
         response = web.StreamResponse(status=head.status, headers=head.headers)
         self._front.mark(response)
@@ -92,7 +92,7 @@
         means: what courses work with.
     """
 
-    def __init__(self, means: means_module.Means) -> None:
+    def __init__(self, means: contexts.Context) -> None:
         self._means = means
         self._in_flight = 0
         self._lives: collections.deque[float] = collections.deque(
@@ -139,7 +139,7 @@
         """
         if not self.leaving or clock.now() < self._quiet_at:
             return False
-        return means_module.end_by(call, route) > self._ends_at
+        return contexts.answer_deadline(call, route) > self._ends_at
 
     def limits(self) -> routes.Limits:
         """Return the limits in force."""
@@ -159,7 +159,7 @@
     async def metrics(self, request: web.BaseRequest) -> web.StreamResponse:
         """Show all counters and histograms."""
         return web.Response(
-            body=instruments.text().encode(),
+            body=instruments.render().encode(),
             headers={'Content-Type': instruments.CONTENT_TYPE},
         )
 
@@ -200,11 +200,11 @@
         self, request: web.BaseRequest, call: calls.Call
     ) -> web.StreamResponse:
         if not self._means.directory.ready:
-            failure = means_module.refusal(
+            failure = contexts.retryable_failure(
                 errors.NO_CONFIGURATION, '', _RETRY_AFTER
             )
             return self._own(failure, call.id)
-        route = self._means.directory.table.find(call.host, call.target)
+        route = self._means.directory.route_table.find(call.host, call.target)
         if route is None:
             return self._own(errors.Failure(errors.NO_ROUTE), call.id)
         known = self._identify(call, route)
@@ -229,7 +229,7 @@
     async def _admitted(
         self, request: web.BaseRequest, call: calls.Call, route: routes.Route
     ) -> web.StreamResponse:
-        if self._means.guard.holds(call):
+        if self._means.guard.is_blocked(call):
             failure = self._means.guard.failure(call)
             return self._respond(call, route, failure)
         too_large = self._means.accounts.check_size(call)
@@ -244,13 +244,15 @@
         ):
             return await self._generate(request, call, route, service)
         if self._cuts(call, route):
-            failure = means_module.refusal(errors.LEAVING, '', _ELSEWHERE)
+            failure = contexts.retryable_failure(
+                errors.LEAVING, '', _ELSEWHERE
+            )
             return self._respond(call, route, failure)
         return self._respond(call, route, await self._call(call, route, name))
 
     async def _call(
         self, call: calls.Call, route: routes.Route, service: ids.ServiceName
-    ) -> means_module.Whole | errors.Failure:
+    ) -> contexts.CompleteAnswer | errors.Failure:
         """Run a plain call within its customer's quota."""
         denied = self._means.accounts.charge(call)
         if denied is not None:
@@ -271,7 +273,9 @@
         service: routes.Service,
     ) -> web.StreamResponse:
         if self._ends_first():
-            failure = means_module.refusal(errors.LEAVING, '', _ELSEWHERE)
+            failure = contexts.retryable_failure(
+                errors.LEAVING, '', _ELSEWHERE
+            )
             return self._respond(call, route, failure)
         sink = _StreamSink(request, self)
         course = generation.Course(self._means, call, route, service, sink)
@@ -309,7 +313,7 @@
         self,
         call: calls.Call,
         route: routes.Route,
-        result: means_module.Whole | errors.Failure,
+        result: contexts.CompleteAnswer | errors.Failure,
     ) -> web.StreamResponse:
         if isinstance(result, errors.Failure):
             instruments.answers.add(1, {'reason': result.reason.name})
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -33,8 +33,8 @@
 from galenahatch import errors
 from galenahatch.gateway import accounts
 from galenahatch.gateway import calls
+from galenahatch.gateway import context as contexts
 from galenahatch.gateway import ending
-from galenahatch.gateway import means as means_module
 from galenahatch.gateway import messages
 from galenahatch.gateway import ownership as ownerships
 from galenahatch.gateway import prefill
@@ -71,11 +71,11 @@
 
     def __init__(
         self,
-        means: means_module.Means,
+        means: contexts.Context,
         call: calls.Call,
         route: routes.Route,
         service: routes.Service,
-        sink: means_module.Sink,
+        sink: contexts.Sink,
     ) -> None:
         assert call.prompt is not None and service.engine is not None
         self._means = means
@@ -87,7 +87,7 @@
         self._sends = fate.Sends()
         self._relay = relays.Relay(sink, call.last_event)
         self._avoid: list[ids.UpstreamId] = []
-        self._end_by = means_module.end_by(call, route)
+        self._end_by = contexts.answer_deadline(call, route)
         self._decodes = 0
         self._detail = ''
         self._spent = relays.Spent()
@@ -98,7 +98,7 @@
         self._was_placed = False
         self._reader = prefill.Reader(means, call, service)
 
-    async def run(self) -> means_module.Whole | errors.Failure | None:
+    async def run(self) -> contexts.CompleteAnswer | errors.Failure | None:
         """Return None when the stream was passed on whole.
 
         Raises:
@@ -126,9 +126,9 @@
         if units and failure.outcome is errors.Outcome.NOT_RUN:
             self._means.ownership.give_back(self._call.customer_name, units)
 
-    async def _run(self) -> means_module.Whole | errors.Failure | None:
+    async def _run(self) -> contexts.CompleteAnswer | errors.Failure | None:
         for number in range(1, _MOST_PLACES + 1):
-            if means_module.over(self._end_by):
+            if contexts.has_passed(self._end_by):
                 break
             stream = ids.StreamId(f'{self._call.id}.{number}')
             self._stage = 'waiting'
@@ -145,8 +145,8 @@
             self._detail = result.detail
             self._avoid += {result.failed, *result.at_fault}
             if result.cut is not None and not self._ran_on:
-                await self._means.guard.cut(self._call, result.cut)
-            if self._means.guard.holds(self._call):
+                await self._means.guard.record_cut(self._call, result.cut)
+            if self._means.guard.is_blocked(self._call):
                 return self._held_back()
             most = self._route.max_attempts
             if not self._sends.may_send(self._route.repeatable, most):
@@ -164,7 +164,7 @@
             hint=max(0, likely - made),
             most=most,
             start_by=self._call.arrived_at + self._route.objective,
-            leaves_at=means_module.leaves_at(self._call, self._route),
+            leaves_at=contexts.abandonment_time(self._call, self._route),
             deadline=self._end_by,
             subject=self._prompt.subject,
             avoid=tuple(self._avoid),
@@ -173,10 +173,10 @@
             longest_pause=self._route.longest_pause,
             attempt=attempt,
             extra=self._reader.extra_sends() + (self._decodes > 0),
-            is_suspect=self._means.guard.suspects(self._call),
+            is_suspect=self._means.guard.is_suspect(self._call),
             customer=self._call.customer_name,
             units=self._call.units if attempt == 1 else 0.0,
-            priority=means_module.priority(self._call, self._route),
+            priority=contexts.priority(self._call, self._route),
         )
 
     def _sizes(self) -> tuple[int, int]:
@@ -189,7 +189,7 @@
 
     async def _attempt(
         self, stream: ids.StreamId, placed: messages.Placement
-    ) -> means_module.Whole | errors.Failure | prefill.Again | None:
+    ) -> contexts.CompleteAnswer | errors.Failure | prefill.Again | None:
         find = self._means.directory.registry.find
         release = messages.Release(stream, self._service.name)
         try:
@@ -211,7 +211,7 @@
             if isinstance(result, prefill.Again):
                 release = self._failed(release, result)
             elif result is None:
-                self._means.guard.served(self._call)
+                self._means.guard.record_completion(self._call)
                 release = self._ended(release)
             return result
         finally:
@@ -223,8 +223,8 @@
         Another gateway may have seen meanwhile what it does there, and the
         upstream may have asked this one for a pause.
         """
-        paused = self._means.notices.pause_left(upstream.id)
-        if paused or self._means.guard.holds(self._call):
+        paused = self._means.notices.pause_seconds_left(upstream.id)
+        if paused or self._means.guard.is_blocked(self._call):
             return False
         registry = self._means.directory.registry
         return registry.takes_work(upstream.id, clock.now())
@@ -255,7 +255,7 @@
 
     async def _decode(
         self, stream: ids.StreamId, engine: upstreams.Upstream, output: int
-    ) -> means_module.Whole | errors.Failure | prefill.Again | None:
+    ) -> contexts.CompleteAnswer | errors.Failure | prefill.Again | None:
         """Send the request to its decode engine and pass the stream on."""
         if not self._takes_work(engine):
             return prefill.Again(engine.id, 'decode engine gone')
@@ -266,7 +266,7 @@
             stream, self._service.name, engine.id, prompt, output, most, -1.0
         )
         self._means.ownership.hold(held, self._made)
-        left = means_module.left(self._end_by)
+        left = contexts.seconds_until(self._end_by)
         directions = calls.Directions(
             engine.id,
             left,
@@ -333,13 +333,13 @@
         stream: ids.StreamId,
         engine: upstreams.Upstream,
         answer: senders.Answer,
-    ) -> means_module.Whole | errors.Failure | prefill.Again | None:
+    ) -> contexts.CompleteAnswer | errors.Failure | prefill.Again | None:
         """Pass an answer on to its end."""
         head = answer.head
         if head.status >= 300 or head.encoded or not head.signed:
             body = await answer.body()
             if head.status < 500 and head.status >= 300 and body is not None:
-                return means_module.Whole(head, body)
+                return contexts.CompleteAnswer(head, body)
             return prefill.Again(
                 engine.id, f'status {head.status}', (engine.id,)
             )
@@ -358,10 +358,10 @@
         began = False
         while True:
             # What has come is passed on, also after the deadline.
-            left = max(0.0, means_module.left(self._end_by))
+            left = max(0.0, contexts.seconds_until(self._end_by))
             data = await answer.read(self._patience(left))
             if isinstance(data, senders.Lost):
-                if means_module.over(self._end_by):
+                if contexts.has_passed(self._end_by):
                     raise Broken('deadline')
                 self._log_lost('Stream lost.', engine, data)
                 return self._broke_off(engine, data.detail, data.is_cut)
@@ -407,7 +407,7 @@
             return errors.Failure(errors.SEND_INTERRUPTED, given_up.reason)
         if given_up.is_over_quota:
             return accounts.failure(given_up.reason, given_up.retry_after)
-        return means_module.refusal(
+        return contexts.retryable_failure(
             errors.NO_TIME, given_up.reason, given_up.retry_after
         )
 
@@ -415,10 +415,10 @@
         if self._relay.has_reached_caller:
             raise Broken(self._detail)
         if self._sends.surely_not_run:
-            return means_module.refusal(
+            return contexts.retryable_failure(
                 errors.NO_ENGINE, self._detail, _RETRY_AFTER
             )
-        if means_module.over(self._end_by):
+        if contexts.has_passed(self._end_by):
             return errors.Failure(errors.DEADLINE, self._detail)
         return errors.Failure(errors.SEND_INTERRUPTED, self._detail)
 
--- a/galenahatch/gateway/instruments.py
+++ b/galenahatch/gateway/instruments.py
@@ -25,7 +25,7 @@
 from opentelemetry.sdk.metrics import view
 
 CONTENT_TYPE: typing.Final = 'text/plain; version=0.0.4'
-_SECONDS: typing.Final = (
+_BUCKET_BOUNDS_S: typing.Final = (
     0.01,
     0.025,
     0.05,
@@ -47,7 +47,9 @@
     views=[
         view.View(
             instrument_type=sdk.Histogram,
-            aggregation=view.ExplicitBucketHistogramAggregation(_SECONDS),
+            aggregation=view.ExplicitBucketHistogramAggregation(
+                _BUCKET_BOUNDS_S
+            ),
         )
     ],
     shutdown_on_exit=False,
@@ -119,16 +121,16 @@
     HELD_BACK,
     description='Times that a plain call found no room, by upstream.',
 )
-Gauge = typing.Callable[[], typing.Mapping[str, float]]
+GaugeCallback = typing.Callable[[], typing.Mapping[str, float]]
 """Returns the value of each upstream that has one."""
-_gauges: dict[str, Gauge] = {}
+_gauge_callbacks: dict[str, GaugeCallback] = {}
 
 
 def _upstream_gauge(name: str, unit: str, description: str) -> str:
     def observe(
         options: api.CallbackOptions,
     ) -> typing.Iterable[api.Observation]:
-        values = _gauges[name]() if name in _gauges else {}
+        values = _gauge_callbacks[name]() if name in _gauge_callbacks else {}
         for upstream, value in values.items():
             yield api.Observation(value, {'upstream': upstream})
 
@@ -161,12 +163,12 @@
 )
 
 
-def watch(name: str, gauge: Gauge) -> None:
+def register_gauge(name: str, gauge: GaugeCallback) -> None:
     """Show what a function returns as one of the gauges by upstream."""
-    _gauges[name] = gauge
+    _gauge_callbacks[name] = gauge
 
 
-def serve_all() -> None:
+def set_global_provider() -> None:
     """Count here what is counted outside this package as well.
 
     That is, for one, the bytes between gateways (`bus`). Other programs load
@@ -175,7 +177,7 @@
     api.set_meter_provider(_provider)
 
 
-def text() -> str:
+def render() -> str:
     """Return all instruments in the text format."""
     data = _reader.get_metrics_data()
     lines: list[str] = []
@@ -184,11 +186,11 @@
     for resource in data.resource_metrics:
         for scope in resource.scope_metrics:
             for metric in scope.metrics:
-                lines.extend(_lines(metric))
+                lines.extend(_metric_lines(metric))
     return '\n'.join(lines) + '\n'
 
 
-def _lines(metric: typing.Any) -> list[str]:
+def _metric_lines(metric: typing.Any) -> list[str]:
     points = list(metric.data.data_points)
     histogram = bool(points) and hasattr(points[0], 'bucket_counts')
     gauge = isinstance(metric.data, export.Gauge)
@@ -202,27 +204,29 @@
     ]
     for point in points:
         if histogram:
-            lines.extend(_buckets(name, point))
+            lines.extend(_histogram_lines(name, point))
         else:
-            lines.append(f'{name}{_labels(point.attributes)} {point.value}')
+            lines.append(
+                f'{name}{_label_text(point.attributes)} {point.value}'
+            )
     return lines
 
 
-def _buckets(name: str, point: typing.Any) -> list[str]:
+def _histogram_lines(name: str, point: typing.Any) -> list[str]:
     lines = []
     total = 0
     bounds = [str(bound) for bound in point.explicit_bounds] + ['+Inf']
     for bound, count in zip(bounds, point.bucket_counts, strict=True):
         total += count
-        labels = _labels({**point.attributes, 'le': bound})
+        labels = _label_text({**point.attributes, 'le': bound})
         lines.append(f'{name}_bucket{labels} {total}')
-    labels = _labels(point.attributes)
+    labels = _label_text(point.attributes)
     lines.append(f'{name}_sum{labels} {point.sum}')
     lines.append(f'{name}_count{labels} {point.count}')
     return lines
 
 
-def _labels(attributes: typing.Mapping[str, typing.Any]) -> str:
+def _label_text(attributes: typing.Mapping[str, typing.Any]) -> str:
     if not attributes:
         return ''
     pairs = (f'{key}="{value}"' for key, value in sorted(attributes.items()))
--- a/galenahatch/gateway/lease.py
+++ b/galenahatch/gateway/lease.py
@@ -39,12 +39,12 @@
 
 TABLE: typing.Final = 'leases'
 _KEY: typing.Final = 'orders'
-_NOBODY: typing.Final = ''
-_LEASES: typing.Final = 2.0
+_NO_HOLDER: typing.Final = ''
+_LENGTH_RATIO: typing.Final = 2.0
 """Length of our lease, in those that the platform asks for."""
-_ORDERING: typing.Final = 0.5
+_USABLE_RATIO: typing.Final = 0.5
 """Part of the platform's lease in which its holder gives orders."""
-_NUMBER_BITS: typing.Final = 40
+_VERSION_BITS: typing.Final = 40
 """Bits of a fencing number that count versions within an era: enough for
 decades of writes."""
 _log = logs.Log('lease')
@@ -52,18 +52,18 @@
 
 def fencing_number(version: versions.Version) -> int:
     """Return the fencing number of a version; it rises as versions do."""
-    return (version.era << _NUMBER_BITS) + version.number
+    return (version.era << _VERSION_BITS) + version.number
 
 
-def holder(found: stores.Rows) -> str:
+def current_holder(found: stores.Rows) -> str:
     """Return who holds the lease at the moment of a reading, or nobody."""
-    _, lease = _find(found)
+    _, lease = _find_lease(found)
     if lease is None or found.now_ms > lease.until_ms:
         return ''
     return lease.holder
 
 
-class Rows(typing.Protocol):
+class LeaseStore(typing.Protocol):
     """The part of the store that the lease needs."""
 
     async def rows(
@@ -95,7 +95,7 @@
     era: int = 0
 
 
-def _find(found: stores.Rows) -> tuple[int, _Row | None]:
+def _find_lease(found: stores.Rows) -> tuple[int, _Row | None]:
     """Return the number of the row, 0 if there is none, and the lease.
 
     There is no lease if the row can't be read or is of another era.
@@ -120,18 +120,20 @@
         seconds: between the orders of two holders.
     """
 
-    def __init__(self, store: Rows, me: ids.MemberId, seconds: float) -> None:
+    def __init__(
+        self, store: LeaseStore, own_id: ids.MemberId, fencing_interval: float
+    ) -> None:
         self._store = store
-        self._me = me
-        self._seconds = seconds
+        self._own_id = own_id
+        self._fencing_interval = fencing_interval
 
-    async def fence(self) -> int | None:
+    async def acquire(self) -> int | None:
         """Return a fencing number, if an order may be given with it now."""
-        until = clock.now() + _ORDERING * self._seconds
-        fence = await self._take()
+        until = clock.now() + _USABLE_RATIO * self._fencing_interval
+        fence = await self._acquire()
         return fence if clock.now() <= until else None
 
-    async def prepare(self) -> None:
+    async def begin_era(self) -> None:
         """Begin the leases of the newest era, if nobody has.
 
         Done ahead of the first order, which would have to wait otherwise.
@@ -139,35 +141,35 @@
         found = await self._read()
         if found is None or not found.era:
             return
-        number, lease = _find(found)
+        number, lease = _find_lease(found)
         if lease is None:
-            await self._begin_era(found, number)
+            await self._write_unheld(found, number)
 
-    async def _take(self) -> int | None:
+    async def _acquire(self) -> int | None:
         found = await self._read()
         if found is None:
             return None
-        number, lease = _find(found)
+        number, lease = _find_lease(found)
         if lease is None and found.era:
-            await self._begin_era(found, number)
+            await self._write_unheld(found, number)
             return None
         if lease is not None and not self._is_free(lease, found.now_ms):
             return None
-        written = await self._write(self._me, found, number)
+        written = await self._write(self._own_id, found, number)
         if written is None:
-            _log.warning('Lease not taken.', holder=self._me)
+            _log.warning('Lease not taken.', holder=self._own_id)
             return None
         fence = fencing_number(written)
-        _log.info('Lease taken.', holder=self._me, fence=fence)
+        _log.info('Lease taken.', holder=self._own_id, fence=fence)
         return fence
 
-    async def _begin_era(self, found: stores.Rows, number: int) -> None:
+    async def _write_unheld(self, found: stores.Rows, number: int) -> None:
         """Write a row that nobody holds.
 
         Who held the lease before the restore gives no more orders by the
         time at which it lapses.
         """
-        if await self._write(_NOBODY, found, number) is not None:
+        if await self._write(_NO_HOLDER, found, number) is not None:
             _log.info('Leases of an era begun.', era=found.era)
 
     async def _read(self) -> stores.Rows | None:
@@ -185,7 +187,7 @@
         What is written in another era than it was read in replaces some other
         row, and counts for nothing: it names the era of the reading.
         """
-        until = found.now_ms + _LEASES * self._seconds * 1000
+        until = found.now_ms + _LENGTH_RATIO * self._fencing_interval * 1000
         value = msgspec.json.encode(_Row(name, until, found.era))
         written = await self._store.transact(
             [stores.Entry(TABLE, _KEY, ver=number)],
@@ -196,4 +198,4 @@
         return written.version if written.era == found.era else None
 
     def _is_free(self, lease: _Row, now_ms: float) -> bool:
-        return lease.holder == self._me or now_ms > lease.until_ms
+        return lease.holder == self._own_id or now_ms > lease.until_ms
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -46,14 +46,14 @@
 from galenahatch import tasks
 from galenahatch import timeouts
 
-_STARTING: typing.Final = 2.0
-"""Seconds in which members that stopped at the same time restart."""
+_STARTUP_S: typing.Final = 2.0
+"""Seconds in which others that were ended at the same time are back."""
 _log = logs.Log('mesh')
 
 CODEC: typing.Final = bus.Codec[frames.AnyMessage](
     frames.encode, frames.decode
 )
-_FIRST: typing.Final = (
+_BEFORE_HEARTBEAT: typing.Final = (
     messages.PlacementRequest,
     messages.StageChangeRequest,
     messages.PermitRequest,
@@ -118,21 +118,21 @@
             store,
             directory.outage,
             ids.MemberId(address),
-            rosters.Introduction(port, data_centre),
-            self._drop,
-            self._guard.begin_list,
-            self._guard.take,
+            rosters.MemberRow(port, data_centre),
+            self._close_link,
+            self._guard.begin_snapshot,
+            self._guard.apply_row,
         )
         self._members = self._roster.members
         self._links: dict[ids.MemberId, bus.Link[frames.AnyMessage]] = {}
         self._peers: dict[ids.MemberId, bus.Peer] = {}
-        self._names: dict[bus.Peer, ids.MemberId] = {}
-        self._asking = updates.UpdateRequester(directory)
-        self._began_at = clock.now()
+        self._member_ids: dict[bus.Peer, ids.MemberId] = {}
+        self._update_requester = updates.UpdateRequester(directory)
+        self._started_at = clock.now()
         self._owner = ids.MemberId('')
         self.me = ids.MemberId(address)
         self.leaving = False
-        self.held: collections.abc.Callable[
+        self.running_generations: collections.abc.Callable[
             [], tuple[messages.RunningGeneration, ...]
         ] = tuple
         self.figures: collections.abc.Callable[
@@ -145,7 +145,7 @@
         """Give the exchanging components access to the other gateways."""
         self._directory.fed_by_peers = self._roster.fed_by_peers
         self._guard.announce = self._announce
-        self._accounts.announce = self._announce_used
+        self._accounts.announce = self._announce_usage
         self._accounts.size = lambda: self.size
         self._rate_limits.join(self)
         self._notices.tell_owner = self.tell_owner
@@ -159,8 +159,8 @@
         """Join, and start to talk."""
         self._tasks.keep('join', self._roster.join)
         self._tasks.keep('member feed', self._roster.feed.run)
-        self._tasks.keep('listening', self._listen)
-        self._tasks.keep('beats', self._beats)
+        self._tasks.keep('listening', self._watch_event_loop)
+        self._tasks.keep('beats', self._send_heartbeats)
         self._tasks.keep(
             'quarantine',
             lambda: self._guard.run(lambda: self._owner == self.me),
@@ -174,13 +174,13 @@
 
     def owner(self) -> ids.MemberId:
         """Return the first member that answers; this one in the end."""
-        return self._chosen(self._members.owner(self.leaving, clock.now()))
+        return self._set_owner(self._members.owner(self.leaving, clock.now()))
 
     def is_live(self, name: ids.MemberId) -> bool:
         """Return whether a member answers."""
         return name == self.me or self._members.is_live(name, clock.now())
 
-    def hearing(self) -> ids.MemberId | None:
+    def member_reaching_store(self) -> ids.MemberId | None:
         """Return another member that hears the store, if there is one."""
         return self._members.hearing(clock.now())
 
@@ -200,14 +200,14 @@
         if peer is not None:
             self._hub.send(peer, message)
 
-    def _chosen(self, name: ids.MemberId) -> ids.MemberId:
+    def _set_owner(self, name: ids.MemberId) -> ids.MemberId:
         if name != self._owner:
             instruments.owner_changes.add(1)
             _log.info('Owner changed.', owner=name, before=self._owner)
             self._owner = name
         return name
 
-    async def _listen(self) -> None:
+    async def _watch_event_loop(self) -> None:
         suspension = clock.Suspension()
         while True:
             suspended = suspension.look()
@@ -220,13 +220,13 @@
                 _log.warning('Stalled.', seconds=stalled)
             await asyncio.sleep(members.LISTEN_EVERY)
 
-    async def _beats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            self._beat()
-            await self._roster.tidy(self._owner == self.me)
+            self._send_heartbeat()
+            await self._roster.remove_stale(self._owner == self.me)
             await asyncio.sleep(members.BEAT_EVERY * self._members.slower)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = clock.now()
         message = messages.Heartbeat(
             self.me,
@@ -234,33 +234,33 @@
             self._directory.config_version,
             self._directory.upstreams_version.number,
             self.leaving,
-            self.held(),
+            self.running_generations(),
             self._exchange.take_new(),
             self._members.order.number,
-            self._directory.hears_store,
-            self._guard.tell(),
+            self._directory.reaches_store,
+            self._guard.suspicions(),
             self._accounts.take_new(),
             self._rate_limits.tell(),
-            self._notices.tell(),
+            self._notices.leaving_upstreams(),
             self._directory.upstreams_version.era,
             self._members.order.era,
         )
         if self._members.owner(self.leaving, now) == self.me:
             self._exchange.decides()
-            part = self._part(now)
+            part = self._reachable_share(now)
         else:
             part = 1.0
         self._accounts.decides_for(part)
         self._rate_limits.decides_for(part)
         self.tell_owner(message)
 
-    def _part(self, now: float) -> float:
+    def _reachable_share(self, now: float) -> float:
         """Return the share of all members for which this one decides.
 
         A member that has just started has used hardly any quota, and can't
         tell members that are starting from unreachable ones.
         """
-        if now - self._began_at < _STARTING:
+        if now - self._started_at < _STARTUP_S:
             return 1.0
         return self._members.part_heard(now)
 
@@ -269,7 +269,7 @@
         now = clock.now()
         live = 0
         for name in self._members.ordered():
-            if live >= rosters.CANDIDATES:
+            if live >= rosters.OWNER_CANDIDATES:
                 break
             live += name == self.me or self._members.is_live(name, now)
             if name != self.me:
@@ -284,11 +284,11 @@
         else:
             self.tell_owner(message)
 
-    def _announce_used(self, used: tuple[messages.QuotaUse, ...]) -> None:
+    def _announce_usage(self, used: tuple[messages.QuotaUse, ...]) -> None:
         """Tell the owner, and the next one, at once what was used here."""
         self.tell_owner(messages.QuotaUsage(used))
 
-    def _drop(self, name: ids.MemberId) -> None:
+    def _close_link(self, name: ids.MemberId) -> None:
         link = self._links.pop(name, None)
         if link is not None:
             link.close()
@@ -306,13 +306,13 @@
 
     def _from_hub(self, peer: bus.Peer, message: frames.AnyMessage) -> None:
         if isinstance(message, messages.Heartbeat):
-            self._meet(message.member, peer)
-            self._hear(message.member, message)
+            self._record_peer(message.member, peer)
+            self._record_heartbeat(message.member, message)
             self._exchange.take(message.outcomes)
             self._accounts.take(message.used)
             self._rate_limits.hear(message.rate_limits)
-            self._notices.hear(message.leaving_upstreams)
-            self._guard.hear(message.suspicions)
+            self._notices.merge(message.leaving_upstreams)
+            self._guard.merge(message.suspicions)
             self.reply(
                 message.member,
                 messages.HeartbeatReply(
@@ -321,69 +321,69 @@
                     self._directory.config_version,
                     self._directory.upstreams_version.number,
                     self.leaving,
-                    self._directory.hears_store,
+                    self._directory.reaches_store,
                     self.size,
                     self.figures(),
                     self._exchange.sums(),
                     self._members.order.number,
-                    self._guard.tell(),
+                    self._guard.suspicions(),
                     self._accounts.low(),
                     self._rate_limits.tell(),
-                    self._notices.tell(),
+                    self._notices.leaving_upstreams(),
                     self._directory.upstreams_version.era,
                     self._members.order.era,
                 ),
             )
-            self._compare(message)
+            self._request_update(message)
             self._handler(message.member, message)
             return
-        if isinstance(message, _FIRST):
-            self._meet(message.member, peer)
-        name = self._names.get(peer)
+        if isinstance(message, _BEFORE_HEARTBEAT):
+            self._record_peer(message.member, peer)
+        name = self._member_ids.get(peer)
         if name is not None:
-            self._take(name, message, self.reply)
+            self._dispatch(name, message, self.reply)
 
     def _from_link(
         self, name: ids.MemberId, message: frames.AnyMessage
     ) -> None:
         if isinstance(message, messages.HeartbeatReply):
-            self._hear(name, message)
+            self._record_heartbeat(name, message)
             self._members.told_size(message.member_count)
             if name == self._members.owner(self.leaving, clock.now()):
                 self._exchange.hear(message.outcomes)
             self._accounts.hear(message.low_quotas)
             self._rate_limits.hear(message.rate_limits)
-            self._notices.hear(message.leaving_upstreams)
-            self._guard.hear(message.suspicions)
-            self._compare(message)
+            self._notices.merge(message.leaving_upstreams)
+            self._guard.merge(message.suspicions)
+            self._request_update(message)
             self._handler(name, message)
             return
-        self._take(name, message, self.send)
+        self._dispatch(name, message, self.send)
 
-    def _hear(
+    def _record_heartbeat(
         self,
         name: ids.MemberId,
         beat: messages.Heartbeat | messages.HeartbeatReply,
     ) -> None:
         """Take what a member tells of itself."""
         order = messages.order_version(beat)
-        self._roster.told(order, messages.upstreams_version(beat))
+        self._roster.record_versions(order, messages.upstreams_version(beat))
         self._members.heard(
             name, clock.now(), beat.leaving, beat.incarnation, order
         )
-        feeds = beat.reaches_store and self._asking.is_current(beat)
+        feeds = beat.reaches_store and self._update_requester.is_current(beat)
         self._members.told_store(name, feeds)
 
-    def _meet(self, name: ids.MemberId, peer: bus.Peer) -> None:
+    def _record_peer(self, name: ids.MemberId, peer: bus.Peer) -> None:
         """Remember by which connection a member can be answered."""
         before = self._peers.get(name)
         if before != peer:
             if before is not None:
-                self._names.pop(before, None)
+                self._member_ids.pop(before, None)
             self._peers[name] = peer
-            self._names[peer] = name
+            self._member_ids[peer] = name
 
-    def _take(
+    def _dispatch(
         self,
         name: ids.MemberId,
         message: frames.AnyMessage,
@@ -393,17 +393,17 @@
     ) -> None:
         self._members.heard(name, clock.now())
         if isinstance(message, messages.UpdateRequest):
-            news = self._directory.news(message)
+            news = self._directory.update_for(message)
             if news is not None:
                 answer(name, news)
         elif isinstance(message, messages.Update):
-            self._directory.take_news(message)
+            self._directory.apply_update(message)
         elif isinstance(message, messages.Suspicions):
-            self._guard.hear(message.suspicions)
+            self._guard.merge(message.suspicions)
         elif isinstance(message, messages.RateLimits):
             self._rate_limits.hear(message.limits)
         elif isinstance(message, messages.LeavingUpstreams):
-            self._notices.hear(message.upstreams)
+            self._notices.merge(message.upstreams)
         elif isinstance(message, messages.QuotaUsage):
             self._accounts.take(message.used)
             levels = self._accounts.levels(message.used)
@@ -413,11 +413,11 @@
         else:
             self._handler(name, message)
 
-    def _compare(
+    def _request_update(
         self, beat: messages.Heartbeat | messages.HeartbeatReply
     ) -> None:
         """Ask for what a member knows and this one does not."""
-        ask = self._asking.request_for(beat)
+        ask = self._update_requester.request_for(beat)
         if ask is None:
             return
         if isinstance(beat, messages.Heartbeat):
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -30,11 +30,11 @@
 from galenahatch.gateway import accounts as accounts_module
 from galenahatch.gateway import calls
 from galenahatch.gateway import connections
+from galenahatch.gateway import context as contexts
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import frames
 from galenahatch.gateway import front as fronts
 from galenahatch.gateway import instruments
-from galenahatch.gateway import means as means_module
 from galenahatch.gateway import mesh as meshes
 from galenahatch.gateway import messages
 from galenahatch.gateway import notices
@@ -55,20 +55,20 @@
 
 METRICS_PORT: typing.Final = 9464
 """Where metrics are served; the deploy file names the same port."""
-_LOOK_AWAY: typing.Final = 2.6
+_BALANCER_DRAIN_S: typing.Final = 2.6
 """Seconds for which a stopping gateway takes new callers and streams: the
 balancer asks once a second and looks away after two answers."""
-_LAST_SECOND: typing.Final = 0.4
+_EXIT_MARGIN_S: typing.Final = 0.4
 """Seconds before the end of the grace at which the process ends by itself."""
-_LAST_CALLERS: typing.Final = 1.0
+_NO_NEW_CALLERS_S: typing.Final = 1.0
 """Seconds before that end from which on no callers are taken: those that are
 there are answered, or refused since they would take too long."""
-_CUT_OFF: typing.Final = 0.05
+_ABORT_TIMEOUT_S: typing.Final = 0.05
 """Seconds that requests still in flight at the end get to notice it."""
-_IDLE_CHECK: typing.Final = 0.05
-_STALL: typing.Final = 2 * _IDLE_CHECK
+_IDLE_CHECK_INTERVAL_S: typing.Final = 0.05
+_MAX_COUNTED_CHECK_S: typing.Final = 2 * _IDLE_CHECK_INTERVAL_S
 """Seconds of one such check that count as time in which this process ran."""
-_MEMBERS_EVERY: typing.Final = 1.0
+_REFRESH_INTERVAL_S: typing.Final = 1.0
 _log = logs.Log('gateway')
 
 
@@ -86,14 +86,14 @@
         super().__init__()
         self._settings = settings
         self._path = settings_path
-        self._background = tasks.Tasks()
-        self._leaving = False
+        self._background_tasks = tasks.Tasks()
+        self._is_stopping = False
 
     async def start(self) -> None:
         """Open all parts and listen."""
         self._open()
         await self._listen()
-        self._run()
+        self._start_tasks()
         settings = self._settings
         _log.info('Listening.', vm=settings.name, front=str(settings.front))
 
@@ -105,18 +105,18 @@
             )
         )
         self._store = stores.Store(self._client, str(settings.store))
-        self._store.eras.on_change = _note_era
+        self._store.eras.on_change = _record_era
         self._directory = directories.Directory(
             self._store,
-            self._background,
+            self._background_tasks,
             settings.bounds.drain,
             settings.heartbeat,
         )
         self._sender = senders.Sender()
         self._rate_limits = ratelimits.RateLimits()
         self._notices = notices.Notices(self._directory)
-        self._sender.on_head = self._answered
-        self._directory.on_start(self._end_waits)
+        self._sender.on_head = self._record_answer
+        self._directory.on_restart(self._cancel_waits)
         bounds = settings.bounds
         self._budget = extras.SharedBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
@@ -133,7 +133,7 @@
             self._grants,
             self._accounts,
             self._rate_limits.limiter,
-            self._notices.paused,
+            self._notices.pauses_left,
         )
         self._balancer = balance.Balancer(clock.RANDOM, settings.data_centre)
         self._exchange = outcomes.Exchange(self._balancer.outliers)
@@ -158,8 +158,8 @@
                 self._rate_limits,
                 self._notices,
             ),
-            self._take,
-            self._background,
+            self._handle_message,
+            self._background_tasks,
         )
 
         self._orders = orders.Orders(
@@ -170,15 +170,17 @@
             self._sender,
             self._notices,
             settings.bounds.lease,
-            self._background,
+            self._background_tasks,
         )
 
-    def _take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
+    def _handle_message(
+        self, member: ids.MemberId, message: frames.AnyMessage
+    ) -> None:
         """Take a message of another gateway."""
         if isinstance(
             message, messages.StageChangeRequest | messages.StageChangeReply
         ):
-            self._orders.take(member, message)
+            self._orders.handle_message(member, message)
         elif isinstance(
             message, messages.PermitRequest | messages.PermitReply
         ):
@@ -186,7 +188,7 @@
         else:
             self._ownership.take(member, message)
 
-    def _answered(
+    def _record_answer(
         self,
         upstream: ids.UpstreamId,
         sent_at: float,
@@ -194,19 +196,19 @@
     ) -> None:
         """Take what an upstream's answer says of the next requests."""
         self._rate_limits.answered(upstream, sent_at, head)
-        self._notices.answered(upstream, sent_at, head)
+        self._notices.record_answer(upstream, sent_at, head)
 
-    def _end_waits(self, upstream: ids.UpstreamId) -> None:
+    def _cancel_waits(self, upstream: ids.UpstreamId) -> None:
         """Give up what is under way at the start before."""
         ended = self._sender.waits.started(upstream)
         if ended:
             _log.info('Waits ended.', upstream=upstream, waits=ended)
 
-    def _run(self) -> None:
+    def _start_tasks(self) -> None:
         """Start the tasks that go on until the end."""
         self._directory.run()
         self._mesh.run()
-        self._ownership.run(self._mesh, self._background)
+        self._ownership.run(self._mesh, self._background_tasks)
         reports.Reports(
             self._directory,
             self._mesh,
@@ -214,14 +216,14 @@
             self._sender,
             self._rate_limits.limiter,
             self._notices,
-        ).run(self._background)
+        ).run(self._background_tasks)
         self._orders.run()
-        self._background.keep('members', self._look_around)
+        self._background_tasks.keep('members', self._refresh)
 
     async def _listen(self) -> None:
         settings = self._settings
         self._front = fronts.Front(
-            means_module.Means(
+            contexts.Context(
                 directory=self._directory,
                 sender=self._sender,
                 balancer=self._balancer,
@@ -231,7 +233,7 @@
                 accounts=self._accounts,
                 rate_limits=self._rate_limits,
                 notices=self._notices,
-                tasks=self._background,
+                tasks=self._background_tasks,
             )
         )
         limits = self._front.limits
@@ -246,7 +248,7 @@
         ):
             await server.listen(where)
 
-    async def _look_around(self) -> None:
+    async def _refresh(self) -> None:
         """Note how many gateways there are, and which upstreams are gone."""
         while True:
             self._budget.set_members(self._mesh.size)
@@ -256,7 +258,7 @@
             self._exchange.forget(known)
             self._rate_limits.forget(known)
             self._notices.forget(known)
-            await asyncio.sleep(_MEMBERS_EVERY)
+            await asyncio.sleep(_REFRESH_INTERVAL_S)
 
     def reload(self) -> None:
         """Look at the settings file again."""
@@ -267,44 +269,44 @@
         changed = found != self._settings
         _log.info('Settings read again.', changed=changed)
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin to stop; once is enough."""
-        if self._leaving:
+        if self._is_stopping:
             _log.info('Stopping already.')
             return
-        self._leaving = True
+        self._is_stopping = True
         asyncio.get_running_loop().stop()
 
-    async def _look_away(self, last: float) -> None:
+    async def _wait_for_balancer(self, last: float) -> None:
         """Go on taking callers until they have gone elsewhere.
 
         Time in which this process did not run does not count: the balancer
         could not hear that it is not ready. Streams are refused from the time
         by the clock on, since their callers are told where to turn.
         """
-        left = _LOOK_AWAY
-        while left > 0 and clock.now() < last - _LAST_CALLERS:
+        left = _BALANCER_DRAIN_S
+        while left > 0 and clock.now() < last - _NO_NEW_CALLERS_S:
             before = clock.now()
-            await asyncio.sleep(_IDLE_CHECK)
-            left -= min(clock.now() - before, _STALL)
+            await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
+            left -= min(clock.now() - before, _MAX_COUNTED_CHECK_S)
 
     async def stop(self, exception: Exception | None = None) -> None:
         """Finish what is in flight, then close."""
         began = clock.now()
-        last = began + self._settings.bounds.grace - _LAST_SECOND
-        self._front.leave(began + _LOOK_AWAY, last)
+        last = began + self._settings.bounds.grace - _EXIT_MARGIN_S
+        self._front.leave(began + _BALANCER_DRAIN_S, last)
         self._mesh.leaving = True
         self._ownership.owner.decline_all()
         _log.info('Stopping.', in_flight=self._front.in_flight)
-        await self._look_away(last)
+        await self._wait_for_balancer(last)
         while clock.now() < last:
-            is_late = clock.now() > last - _LAST_CALLERS
+            is_late = clock.now() > last - _NO_NEW_CALLERS_S
             if (
-                await self._callers.leave(is_late)
+                await self._callers.drain(is_late)
                 and not self._front.in_flight
             ):
                 break
-            await asyncio.sleep(_IDLE_CHECK)
+            await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
         self._callers.stop_listening()
         _log.info(
             'Stopped.',
@@ -312,14 +314,14 @@
             connections=len(self._callers.connections),
             seconds=clock.now() - began,
         )
-        await self._callers.shutdown(_CUT_OFF)
-        await self._background.stop()
+        await self._callers.shutdown(_ABORT_TIMEOUT_S)
+        await self._background_tasks.stop()
         await self._sender.close()
         await self._client.close()
         self._mesh.close()
 
 
-def _note_era(before: int | None, after: int) -> None:
+def _record_era(before: int | None, after: int) -> None:
     instruments.store_era.set(after)
     if before is not None:
         instruments.store_restores.add(after - before)
--- a/galenahatch/gateway/notices.py
+++ b/galenahatch/gateway/notices.py
@@ -31,12 +31,12 @@
 from galenahatch import ids
 from galenahatch import logs
 
-_LOG_EVERY: typing.Final = 1.0
+_LOG_INTERVAL_S: typing.Final = 1.0
 """Seconds between two lines of a kind on one upstream."""
-_TOLD: typing.Final = 60.0
+_ANNOUNCE_S: typing.Final = 60.0
 """Seconds for which gateways tell that an upstream leaves; it has left then,
 or each gateway that it answers has heard it itself."""
-_MOST_TOLD: typing.Final = 32
+_MAX_ANNOUNCED: typing.Final = 32
 """Upstreams in one message, the latest ones."""
 _log = logs.Log('notices')
 
@@ -54,16 +54,20 @@
 
     def __init__(self, directory: directories.Directory) -> None:
         self._directory = directory
-        self._leaving: dict[ids.UpstreamId, float] = {}
+        self._leaving_since: dict[ids.UpstreamId, float] = {}
         self.pauses = pauses.Pauses(clock.RANDOM)
         self.tell_owner: typing.Callable[[frames.AnyMessage], None] = (
             lambda message: None
         )
-        instruments.watch(instruments.LEAVING_SECONDS, self._leaving_for)
-        instruments.watch(instruments.PAUSED_SECONDS, self._paused_for)
+        instruments.register_gauge(
+            instruments.LEAVING_SECONDS, self._leaving_seconds
+        )
+        instruments.register_gauge(
+            instruments.PAUSED_SECONDS, self._paused_seconds
+        )
         self._logged_at: dict[tuple[ids.UpstreamId, str], float] = {}
 
-    def answered(
+    def record_answer(
         self,
         upstream: ids.UpstreamId,
         sent_at: float,
@@ -72,42 +76,46 @@
         """Take the head of an answer."""
         for value in (head.leaving, head.pause):
             if isinstance(value, errors.Failure):
-                self._note(
+                self._log_limited(
                     upstream, 'Bad notice ignored.', head, detail=value.detail
                 )
-        if head.leaving is True and self._leaves(upstream):
-            self._note(upstream, 'Upstream says that it leaves.', head)
-            self.tell_owner(messages.LeavingUpstreams(self.tell()))
+        if head.leaving is True and self._record_leaving(upstream):
+            self._log_limited(upstream, 'Upstream says that it leaves.', head)
+            self.tell_owner(
+                messages.LeavingUpstreams(self.leaving_upstreams())
+            )
         if isinstance(head.pause, float):
             self.pauses.begin(upstream, head.pause, clock.now())
-            self._note(upstream, 'Pause asked for.', head, seconds=head.pause)
+            self._log_limited(
+                upstream, 'Pause asked for.', head, seconds=head.pause
+            )
 
-    def pause_left(self, upstream: ids.UpstreamId) -> float:
+    def pause_seconds_left(self, upstream: ids.UpstreamId) -> float:
         """Return the seconds for which an upstream wants nothing from here."""
         return self.pauses.left(upstream, clock.now())
 
-    def paused(self) -> dict[ids.UpstreamId, float]:
+    def pauses_left(self) -> dict[ids.UpstreamId, float]:
         """Return the seconds that are left of each pause."""
         return self.pauses.active(clock.now())
 
-    def _leaves(self, upstream: ids.UpstreamId) -> bool:
+    def _record_leaving(self, upstream: ids.UpstreamId) -> bool:
         """Send an upstream no more; return whether that is news."""
-        if not self._directory.told_leaving(upstream):
+        if not self._directory.mark_leaving(upstream):
             return False
-        self._leaving[upstream] = clock.now()
+        self._leaving_since[upstream] = clock.now()
         return True
 
-    def tell(self) -> tuple[ids.UpstreamId, ...]:
+    def leaving_upstreams(self) -> tuple[ids.UpstreamId, ...]:
         """Return the upstreams that have said that they leave."""
-        return tuple(self._leaving)[-_MOST_TOLD:]
+        return tuple(self._leaving_since)[-_MAX_ANNOUNCED:]
 
-    def hear(self, leaving: tuple[ids.UpstreamId, ...]) -> None:
+    def merge(self, leaving: tuple[ids.UpstreamId, ...]) -> None:
         """Take what another gateway tells."""
         for upstream in leaving:
-            if self._leaves(upstream):
+            if self._record_leaving(upstream):
                 _log.info('Upstream leaves, by a peer.', upstream=upstream)
 
-    def _note(
+    def _log_limited(
         self,
         upstream: ids.UpstreamId,
         sentence: str,
@@ -116,24 +124,24 @@
     ) -> None:
         now = clock.now()
         key = upstream, sentence
-        if now - self._logged_at.get(key, -_LOG_EVERY) < _LOG_EVERY:
+        if now - self._logged_at.get(key, -_LOG_INTERVAL_S) < _LOG_INTERVAL_S:
             return
         self._logged_at[key] = now
         _log.info(sentence, upstream=upstream, request=head.request, **fields)
 
-    def _leaving_for(self) -> dict[str, float]:
+    def _leaving_seconds(self) -> dict[str, float]:
         now = clock.now()
-        found = [(key, now - at) for key, at in self._leaving.items()]
-        return dict(found[-_MOST_TOLD:])
+        found = [(key, now - at) for key, at in self._leaving_since.items()]
+        return dict(found[-_MAX_ANNOUNCED:])
 
-    def _paused_for(self) -> dict[str, float]:
-        return dict(list(self.paused().items())[:_MOST_TOLD])
+    def _paused_seconds(self) -> dict[str, float]:
+        return dict(list(self.pauses_left().items())[:_MAX_ANNOUNCED])
 
     def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop what is long ago, and upstreams that are gone."""
         now = clock.now()
-        for upstream, told_at in list(self._leaving.items()):
-            if now - told_at > _TOLD:
-                del self._leaving[upstream]
+        for upstream, told_at in list(self._leaving_since.items()):
+            if now - told_at > _ANNOUNCE_S:
+                del self._leaving_since[upstream]
         for old in [key for key in self._logged_at if key[0] not in known]:
             del self._logged_at[old]
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -43,14 +43,14 @@
 from galenahatch.platform import store as stores
 from galenahatch import tasks
 
-_LOOK_EVERY: typing.Final = 0.5
-_CALL_TIMEOUT: typing.Final = 0.6
-_LOST_AFTER: typing.Final = 8.0
+_CHECK_INTERVAL_S: typing.Final = 0.5
+_CALL_TIMEOUT_S: typing.Final = 0.6
+_ORDER_TIMEOUT_S: typing.Final = 8.0
 """Seconds beyond the change itself after which an order counts as lost;
 runs of the engine are finished before it changes."""
-_MAYBE_TAKEN: typing.Final = frozenset((0, 200, 202))
+_MAYBE_ACCEPTED: typing.Final = frozenset((0, 200, 202))
 """Statuses after which an engine may be changing; 0 if there was none."""
-_AFTER_REFUSAL: typing.Final = 3.0
+_RETRY_DELAY_S: typing.Final = 3.0
 _log = logs.Log('orders')
 
 
@@ -87,20 +87,20 @@
         self._notices = notices
         self._lease = leases.Lease(store, mesh.me, lease)
         self._tasks = background
-        self._pause_until = 0.0
-        self._prepared_for = 0
+        self._retry_at = 0.0
+        self._lease_era = 0
 
     def run(self) -> None:
         """Start to give orders whenever this gateway is the owner."""
-        self._tasks.keep('orders', self._forever)
+        self._tasks.keep('orders', self._run)
 
-    async def _forever(self) -> None:
+    async def _run(self) -> None:
         while True:
-            await asyncio.sleep(_LOOK_EVERY)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             now = clock.now()
-            if self._mesh.owner() != self._mesh.me or now < self._pause_until:
+            if self._mesh.owner() != self._mesh.me or now < self._retry_at:
                 continue
-            await self._prepare()
+            await self._begin_lease_era()
             for service, found in list(self._owner.dispatchers.items()):
                 for engine, stage in found.changes(now):
                     _log.info(
@@ -111,45 +111,45 @@
                         decodes=len(found.engines.decodes),
                         **found.measured._asdict(),
                     )
-                    await self._change(service, found, engine, stage)
+                    await self._request_change(service, found, engine, stage)
 
-    async def _prepare(self) -> None:
+    async def _begin_lease_era(self) -> None:
         """Let the leases of an era begin as soon as it is heard of."""
         era = self._store.eras.newest
-        if era == self._prepared_for:
+        if era == self._lease_era:
             return
-        self._prepared_for = era
-        await self._lease.prepare()
+        self._lease_era = era
+        await self._lease.begin_era()
 
-    def take(
+    def handle_message(
         self,
         member: ids.MemberId,
         message: messages.StageChangeRequest | messages.StageChangeReply,
     ) -> None:
         """Take what another gateway asks for, or what came of it."""
         if isinstance(message, messages.StageChangeRequest):
-            self._tasks.once(self._give_for(member, message))
+            self._tasks.once(self._send_for_peer(member, message))
             return
         if message.ordered:
             return
         for dispatcher in self._owner.dispatchers.values():
             if dispatcher.engines.is_awaited(message.engine):
-                self._failed(dispatcher, message.engine, message.stage)
+                self._cancel_change(dispatcher, message.engine, message.stage)
 
-    async def _give_for(
+    async def _send_for_peer(
         self, member: ids.MemberId, wanted: messages.StageChangeRequest
     ) -> None:
         """Give an order that another gateway decided on."""
         engine = self._directory.registry.find(wanted.engine)
         ordered = False
         if engine is not None:
-            ordered = await self._give(engine, wanted.stage)
+            ordered = await self._send_if_possible(engine, wanted.stage)
         self._mesh.reply(
             member,
             messages.StageChangeReply(wanted.engine, wanted.stage, ordered),
         )
 
-    async def _change(
+    async def _request_change(
         self,
         service: ids.ServiceName,
         dispatcher: dispatch.Dispatcher,
@@ -160,19 +160,19 @@
         spec = self._directory.service(service)
         if spec is None or spec.engine is None:
             return
-        lost_at = clock.now() + spec.engine.switch + _LOST_AFTER
+        lost_at = clock.now() + spec.engine.switch + _ORDER_TIMEOUT_S
         dispatcher.engines.changing(engine.id, stage, lost_at)
-        other = self._mesh.hearing()
-        if other is not None and not self._directory.hears_store:
+        other = self._mesh.member_reaching_store()
+        if other is not None and not self._directory.reaches_store:
             _log.info('Order passed on.', engine=engine.id, member=other)
             me = self._mesh.me
             self._mesh.send(
                 other, messages.StageChangeRequest(me, engine.id, stage)
             )
-        elif not await self._give(engine, stage):
-            self._failed(dispatcher, engine.id, stage)
+        elif not await self._send_if_possible(engine, stage):
+            self._cancel_change(dispatcher, engine.id, stage)
 
-    def _failed(
+    def _cancel_change(
         self,
         dispatcher: dispatch.Dispatcher,
         engine: ids.UpstreamId,
@@ -181,25 +181,25 @@
         """Use an engine as it is, and plan again after a while."""
         dispatcher.engines.changing(engine, stage, clock.now())
         dispatcher.division.plan_again()
-        self._pause_until = clock.now() + _AFTER_REFUSAL
+        self._retry_at = clock.now() + _RETRY_DELAY_S
 
-    async def _give(
+    async def _send_if_possible(
         self, engine: upstreams.Upstream, stage: upstreams.Stage
     ) -> bool:
         """Give an order; return whether the engine may be changing now."""
-        if self._notices.pause_left(engine.id):
+        if self._notices.pause_seconds_left(engine.id):
             _log.info('Order put off.', engine=engine.id, why='paused')
             return False
-        report = await self._report(engine)
-        why = _put_off(engine, report)
+        report = await self._read_report(engine)
+        why = _postponement_reason(engine, report)
         if report is None or why:
             _log.info('Order put off.', engine=engine.id, why=why)
             return False
-        fence = await self._lease.fence()
+        fence = await self._lease.acquire()
         if fence is None:
             return False
         status = await self._send(engine, stage, fence, report.taken)
-        return status in _MAYBE_TAKEN
+        return status in _MAYBE_ACCEPTED
 
     async def _send(
         self,
@@ -214,7 +214,7 @@
             'POST',
             engine.address,
             engines.ORDER,
-            _CALL_TIMEOUT,
+            _CALL_TIMEOUT_S,
             body=order,
             headers=engines.pinned(engine.id),
         )
@@ -230,11 +230,11 @@
         )
         return status
 
-    async def _report(
+    async def _read_report(
         self, engine: upstreams.Upstream
     ) -> engines.Report | None:
         reply = await self._sender.small(
-            'GET', engine.address, engines.REPORT, _CALL_TIMEOUT
+            'GET', engine.address, engines.REPORT, _CALL_TIMEOUT_S
         )
         if isinstance(reply, errors.Failure):
             return None
@@ -242,7 +242,9 @@
         return None if isinstance(report, errors.Failure) else report
 
 
-def _put_off(engine: upstreams.Upstream, report: engines.Report | None) -> str:
+def _postponement_reason(
+    engine: upstreams.Upstream, report: engines.Report | None
+) -> str:
     """Return why an engine gets no order now; empty if it may get one."""
     if report is None:
         return 'no report'
--- a/galenahatch/gateway/ownership.py
+++ b/galenahatch/gateway/ownership.py
@@ -127,7 +127,7 @@
     def run(self, mesh: meshes.Mesh, background: tasks.Tasks) -> None:
         """Start to decide and to ask."""
         self._mesh = mesh
-        mesh.held = self._held_now
+        mesh.running_generations = self._held_now
         mesh.figures = self.owner.figures
         self.owner.run(background)
 
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -28,8 +28,8 @@
 from galenahatch.core import upstreams
 from galenahatch import errors
 from galenahatch.gateway import calls
+from galenahatch.gateway import context as contexts
 from galenahatch.gateway import instruments
-from galenahatch.gateway import means as means_module
 from galenahatch.gateway import sender as senders
 from galenahatch import ids
 from galenahatch import logs
@@ -51,7 +51,7 @@
     """What one send came to."""
 
     upstream: ids.UpstreamId
-    whole: means_module.Whole | None
+    whole: contexts.CompleteAnswer | None
     lost: senders.Lost | None
 
 
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        means: means_module.Means,
+        means: contexts.Context,
         call: calls.Call,
         route: routes.Route,
         service: ids.ServiceName,
@@ -81,11 +81,11 @@
         # Seconds until upstreams that could not be chosen have room again.
         self._limited: dict[ids.UpstreamId, float] = {}
         self._paused: dict[ids.UpstreamId, float] = {}
-        self._end_by = means_module.end_by(call, route)
-        self._answer: means_module.Whole | None = None
+        self._end_by = contexts.answer_deadline(call, route)
+        self._answer: contexts.CompleteAnswer | None = None
         self._detail = ''
 
-    async def run(self) -> means_module.Whole | errors.Failure:
+    async def run(self) -> contexts.CompleteAnswer | errors.Failure:
         """Return the answer for the caller."""
         self._means.budget.request(self._service, self._call.arrived_at)
         tries = 0
@@ -99,13 +99,13 @@
             if done is not None:
                 return done
             if attempt.lost is not None and attempt.lost.is_cut:
-                await self._means.guard.cut(self._call, upstream)
-            if self._means.guard.holds(self._call):
+                await self._means.guard.record_cut(self._call, upstream)
+            if self._means.guard.is_blocked(self._call):
                 return self._means.guard.failure(self._call)
         return self._answer or self._failure()
 
     def _may_try(self, tries: int) -> bool:
-        if means_module.over(self._end_by):
+        if contexts.has_passed(self._end_by):
             return False
         if not self._sends.may_send(
             self._route.repeatable, self._route.max_attempts
@@ -145,7 +145,7 @@
         self, usable: collections.abc.Iterable[upstreams.Upstream]
     ) -> dict[ids.UpstreamId, float]:
         """Return the upstreams that want nothing, and for how long."""
-        paused = self._means.notices.paused()
+        paused = self._means.notices.pauses_left()
         return {u.id: paused[u.id] for u in usable if u.id in paused}
 
     def _takes_work(self, upstream: ids.UpstreamId) -> bool:
@@ -154,7 +154,7 @@
         return registry.takes_work(upstream, clock.now())
 
     async def _send(self, upstream: upstreams.Upstream) -> _Attempt:
-        left = means_module.left(self._end_by)
+        left = contexts.seconds_until(self._end_by)
         once = not self._route.repeatable
         again = self._route.max_attempts > self._sends.ran + 1
         share = _FIRST_SHARE if again and not once else 1.0
@@ -204,7 +204,7 @@
         if answer.head.status < 300 and not answer.head.signed:
             whole = False
         if whole and body is not None:
-            attempt.whole = means_module.Whole(answer.head, body)
+            attempt.whole = contexts.CompleteAnswer(answer.head, body)
         else:
             attempt.lost = senders.Lost(
                 fate.Fate.UNCERTAIN,
@@ -264,14 +264,14 @@
             ).likely,
         )
 
-    def _judge(self, attempt: _Attempt) -> means_module.Whole | None:
+    def _judge(self, attempt: _Attempt) -> contexts.CompleteAnswer | None:
         """Return an answer to pass on; keep one that may be bettered."""
         whole = attempt.whole
         if whole is None:
             return None
         if whole.head.status < 300:
             # An upstream may answer with an error and not have run it.
-            self._means.guard.served(self._call)
+            self._means.guard.record_completion(self._call)
         if whole.head.status in _PROMISES:
             # It ran, so the caller must not be told that it did not.
             self._detail = f'status {whole.head.status} after a run'
@@ -284,7 +284,7 @@
     def _failure(self) -> errors.Failure:
         if self._sends.surely_not_run:
             return self._refusal()
-        if means_module.over(self._end_by):
+        if contexts.has_passed(self._end_by):
             return errors.Failure(errors.DEADLINE, self._detail)
         return errors.Failure(errors.SEND_INTERRUPTED, self._detail)
 
@@ -292,6 +292,6 @@
         """Refuse a request that has not run, with when to come back."""
         waits = [*self._limited.values(), *self._paused.values()]
         reason = errors.RATE_LIMITED if self._limited else errors.NO_ENGINE
-        return means_module.refusal(
+        return contexts.retryable_failure(
             reason, self._detail, min(waits, default=_RETRY_AFTER)
         )
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -26,7 +26,7 @@
 from galenahatch.core import upstreams
 from galenahatch import errors
 from galenahatch.gateway import calls
-from galenahatch.gateway import means as means_module
+from galenahatch.gateway import context as contexts
 from galenahatch.gateway import sender as senders
 from galenahatch import ids
 from galenahatch import logs
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        means: means_module.Means,
+        means: contexts.Context,
         call: calls.Call,
         service: routes.Service,
     ) -> None:
@@ -122,7 +122,7 @@
         now = clock.now()
         if not self._means.directory.registry.takes_work(engine.id, now):
             return Again(engine.id, 'prefill engine gone')
-        if self._means.notices.pause_left(engine.id):
+        if self._means.notices.pause_seconds_left(engine.id):
             return Again(engine.id, 'prefill engine wants a pause')
         answer = await self._send(engine, last_event, end_by)
         if isinstance(answer, senders.Lost):
@@ -163,7 +163,7 @@
     async def _send(
         self, engine: upstreams.Upstream, last_event: str, end_by: float
     ) -> senders.Answer | senders.Lost:
-        left = means_module.left(end_by)
+        left = contexts.seconds_until(end_by)
         directions = calls.Directions(
             engine.id,
             left,
@@ -190,7 +190,7 @@
         """Drop a result that nobody will take."""
         source = self.source()
         self._source = ''
-        if not source or self._means.notices.pause_left(self.engine):
+        if not source or self._means.notices.pause_seconds_left(self.engine):
             # It lapses by itself where the engine wants no calls.
             return
         address, _, handle = source.partition('/')
--- a/galenahatch/gateway/program.py
+++ b/galenahatch/gateway/program.py
@@ -31,8 +31,8 @@
 from galenahatch import logs
 from galenahatch.platform import deployment
 
-_BAD_USE: typing.Final = 2
-_NO_TIMER: typing.Final = datetime.timedelta(days=7).total_seconds()
+_EXIT_USAGE_ERROR: typing.Final = 2
+_NO_TIMEOUT_S: typing.Final = datetime.timedelta(days=7).total_seconds()
 
 
 def main() -> int:
@@ -41,9 +41,9 @@
     settings = deployment.load(path)
     if isinstance(settings, errors.Failure):
         print(f'{settings.reason.name}: {settings.detail}', file=sys.stderr)
-        return _BAD_USE
+        return _EXIT_USAGE_ERROR
     logs.set_up_bounded('info')
-    instruments.serve_all()
+    instruments.set_global_provider()
     log = logs.Log('gateway')
     gateway = node.Gateway(settings, path)
     try:
@@ -51,11 +51,11 @@
             gateway,
             log_config=False,
             loop_factory=uvloop.new_event_loop,
-            shutdown_timeout=_NO_TIMER,
+            shutdown_timeout=_NO_TIMEOUT_S,
             pool_size=1,
             catch_signals=(),
         ) as loop:
-            _take_signals(loop, gateway)
+            _install_signal_handlers(loop, gateway)
             loop.run_forever()
         _ignore_signals()
     except OSError as error:
@@ -64,7 +64,7 @@
     return 0
 
 
-def _take_signals(
+def _install_signal_handlers(
     loop: asyncio.AbstractEventLoop, gateway: node.Gateway
 ) -> None:
     """Begin a stop at the first signal, and let no later one cut it short.
@@ -74,8 +74,8 @@
     the process, and break every call that runs.
     """
     work = {
-        signal.SIGTERM: gateway.leave,
-        signal.SIGINT: gateway.leave,
+        signal.SIGTERM: gateway.begin_shutdown,
+        signal.SIGINT: gateway.begin_shutdown,
         signal.SIGHUP: gateway.reload,
     }
 
--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -42,8 +42,8 @@
 ROW_PREFIX: typing.Final = 'quarantine/'
 """Of the keys of rows. They stand in the table of the gateways, whose feed
 brings them without a call of their own."""
-_SAVE_EVERY: typing.Final = 0.5
-_MOST_WRITTEN: typing.Final = 16
+_SAVE_INTERVAL_S: typing.Final = 0.5
+_MAX_ROWS_PER_TRANSACTION: typing.Final = 16
 """Rows in one transaction."""
 _log = logs.Log('quarantine')
 
@@ -63,7 +63,7 @@
     released: bool = False
 
 
-def entry(row: stores.Row) -> Entry | None:
+def decode(row: stores.Row) -> Entry | None:
     """Return what a row tells; None if it can't be read."""
     try:
         return msgspec.json.decode(row.value, type=Entry)
@@ -91,94 +91,98 @@
         self._sender = sender
         self._store = store
         self._table = table
-        self._known = quarantine.Quarantine()
-        self._held: frozenset[ids.RequestDigest] = frozenset()
+        self._quarantine = quarantine.Quarantine()
+        self._blocked: frozenset[ids.RequestDigest] = frozenset()
         self._stored: dict[ids.RequestDigest, Entry] = {}
         self.announce: Announce = lambda told: None
 
     # What courses ask and tell.
 
-    def holds(self, call: calls.Call) -> bool:
+    def is_blocked(self, call: calls.Call) -> bool:
         """Return whether a request may not go to an upstream."""
-        return bool(self._held) and call.digest in self._held
+        return bool(self._blocked) and call.digest in self._blocked
 
-    def suspects(self, call: calls.Call) -> bool:
+    def is_suspect(self, call: calls.Call) -> bool:
         """Return whether an upstream ended under a request lately."""
-        return not self._known.is_empty and self._known.is_suspect(call.digest)
+        return not self._quarantine.is_empty and self._quarantine.is_suspect(
+            call.digest
+        )
 
     def failure(self, call: calls.Call) -> errors.Failure:
         """Return what the caller of a held request is told."""
-        ends = self._known.ends(call.digest)
+        ends = self._quarantine.ends(call.digest)
         detail = f'{ends} engines ended; digest {call.digest}'
         return errors.Failure(errors.ENDS_ENGINES, detail)
 
-    async def cut(
+    async def record_cut(
         self, call: calls.Call, upstream: upstreams.Upstream
     ) -> None:
         """Note that a send broke off soon after its upstream began it."""
         if not await self._sender.refuses(upstream):
             return
-        self._known.ended(call.digest, upstream.id, clock.now())
+        self._quarantine.ended(call.digest, upstream.id, clock.now())
         instruments.upstream_ends.add(1)
         _log.warning(
             'Upstream ended under a request.',
             request=call.id,
             upstream=upstream.id,
             digest=call.digest,
-            ends=self._known.ends(call.digest),
+            ends=self._quarantine.ends(call.digest),
         )
-        self._look()
-        self.announce(self.tell())
+        self._update_blocked()
+        self.announce(self.suspicions())
 
-    def served(self, call: calls.Call) -> None:
+    def record_completion(self, call: calls.Call) -> None:
         """Note that a request ran whole."""
-        if self._known.is_empty:
+        if self._quarantine.is_empty:
             return
-        if self._known.served(call.digest, clock.now()):
+        if self._quarantine.served(call.digest, clock.now()):
             _log.info('Request cleared.', request=call.id, digest=call.digest)
-            self._look()
-            self.announce(self.tell())
+            self._update_blocked()
+            self.announce(self.suspicions())
 
     # What gateways tell each other.
 
-    def tell(self) -> tuple[messages.Suspicion, ...]:
+    def suspicions(self) -> tuple[messages.Suspicion, ...]:
         """Return what goes into a beat, or the answer to one."""
-        if self._known.is_empty:
+        if self._quarantine.is_empty:
             return ()
         return tuple(
             messages.Suspicion(one.digest, one.ends, one.age, one.cleared)
-            for one in self._known.tell(clock.now())
+            for one in self._quarantine.tell(clock.now())
         )
 
-    def hear(self, told: collections.abc.Iterable[messages.Suspicion]) -> None:
+    def merge(
+        self, told: collections.abc.Iterable[messages.Suspicion]
+    ) -> None:
         """Add what another gateway knows."""
-        self._hear(
+        self._merge(
             quarantine.Suspicion(one.digest, one.ends, one.age, one.cleared)
             for one in told
         )
 
-    def _hear(
+    def _merge(
         self, told: collections.abc.Iterable[quarantine.Suspicion]
     ) -> None:
-        self._known.hear(told, clock.now())
-        self._look()
+        self._quarantine.hear(told, clock.now())
+        self._update_blocked()
 
-    def _look(self) -> None:
+    def _update_blocked(self) -> None:
         """Take the verdicts, and log those that are new."""
-        held = self._known.held
-        if held == self._held:
+        held = self._quarantine.held
+        if held == self._blocked:
             return
-        for digest in held - self._held:
-            ends = self._known.ends(digest)
+        for digest in held - self._blocked:
+            ends = self._quarantine.ends(digest)
             _log.warning('Request held back.', digest=digest, ends=ends)
-        for digest in self._held - held:
+        for digest in self._blocked - held:
             _log.info('Request let through again.', digest=digest)
-        self._held = held
-        self.announce(self.tell())
+        self._blocked = held
+        self.announce(self.suspicions())
 
     # What outlives all gateways.
 
-    def begin_list(self) -> None:
+    def begin_snapshot(self) -> None:
         """Begin to take all rows that are stored.
 
         A store that comes back from an older copy may have lost some: the
@@ -186,7 +190,7 @@
         """
         self._stored.clear()
 
-    def take(self, row: stores.Row) -> None:
+    def apply_row(self, row: stores.Row) -> None:
         """Take a row of the store.
 
         A row that is gone was forgotten by the owner, and is here as well
@@ -196,11 +200,11 @@
         if row.removed:
             self._stored.pop(digest, None)
             return
-        found = entry(row)
+        found = decode(row)
         if found is None:
             return
         self._stored[digest] = found
-        self._hear(
+        self._merge(
             [quarantine.Suspicion(digest, found.ends, cleared=found.released)]
         )
 
@@ -211,11 +215,11 @@
             decides: whether this gateway is the owner, who writes.
         """
         while True:
-            self._known.forget(clock.now())
-            self._look()
+            self._quarantine.forget(clock.now())
+            self._update_blocked()
             if decides():
                 await self._save()
-            await asyncio.sleep(_SAVE_EVERY)
+            await asyncio.sleep(_SAVE_INTERVAL_S)
 
     async def _save(self) -> None:
         """Write what is new into the store, and remove what was forgotten."""
@@ -247,7 +251,7 @@
         """Return rows to write and to remove, as many as go at once."""
         lasting = {
             one.digest: Entry(one.ends, one.cleared)
-            for one in self._known.lasting(clock.now())
+            for one in self._quarantine.lasting(clock.now())
         }
         new = [
             (digest, made)
@@ -255,4 +259,6 @@
             if self._stored.get(digest) != made
         ]
         gone = [digest for digest in self._stored if digest not in lasting]
-        return dict(new[:_MOST_WRITTEN]), gone[:_MOST_WRITTEN]
+        return dict(new[:_MAX_ROWS_PER_TRANSACTION]), gone[
+            :_MAX_ROWS_PER_TRANSACTION
+        ]
--- a/galenahatch/gateway/ratelimits.py
+++ b/galenahatch/gateway/ratelimits.py
@@ -101,8 +101,8 @@
         self._numbers = itertools.count()
         self._labels: set[ids.UpstreamId] = set()
         self._peers: Peers | None = None
-        instruments.watch(instruments.RATE_LIMIT, self._rates)
-        instruments.watch(instruments.LIMITED_SECONDS, self._ages)
+        instruments.register_gauge(instruments.RATE_LIMIT, self._rates)
+        instruments.register_gauge(instruments.LIMITED_SECONDS, self._ages)
 
     def join(self, peers: Peers) -> None:
         """Talk to other gateways from now on."""
--- a/galenahatch/gateway/relay.py
+++ b/galenahatch/gateway/relay.py
@@ -22,7 +22,7 @@
 from galenahatch import clock
 from galenahatch.core import events
 from galenahatch.gateway import calls
-from galenahatch.gateway import means as means_module
+from galenahatch.gateway import context as contexts
 
 
 @dataclasses.dataclass
@@ -54,7 +54,7 @@
         run_first_at: when its first event came.
     """
 
-    def __init__(self, sink: means_module.Sink, last_event: str) -> None:
+    def __init__(self, sink: contexts.Sink, last_event: str) -> None:
         self._sink = sink
         self._splitter = events.EventSplitter()
         self._splitter.last_id = last_event
@@ -67,7 +67,7 @@
     @property
     def has_reached_caller(self) -> bool:
         """Whether the caller has had the head of the answer."""
-        return self._sink.begun
+        return self._sink.is_head_sent
 
     @property
     def last_event(self) -> str:
@@ -108,6 +108,6 @@
 
     async def pass_on(self, head: calls.AnswerHead, whole: bytes) -> None:
         """Send whole events to the caller."""
-        if not self._sink.begun:
-            await self._sink.begin(head)
+        if not self._sink.is_head_sent:
+            await self._sink.send_head(head)
         await self._sink.write(whole)
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -86,7 +86,7 @@
         found = [
             engine
             for engine in registry.usable(service, now)
-            if not self._notices.pause_left(engine.id)
+            if not self._notices.pause_seconds_left(engine.id)
             and self._limiter.may_probe(engine.id, now)
         ]
         replies = await asyncio.gather(
@@ -120,7 +120,7 @@
         """Take the report of an engine, of its present start alone."""
         told = (incarnations.UNKNOWN, incarnations.born(engine))
         if report.born not in told:
-            later = self._directory.restarted(
+            later = self._directory.record_restart(
                 engine, report.born, report.stage
             )
             if later is None:
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -37,28 +37,28 @@
 from galenahatch.platform import store as stores
 
 MEMBER_TABLE: typing.Final = 'gateways'
-CANDIDATES: typing.Final = 2
+OWNER_CANDIDATES: typing.Final = 2
 """Members that each gateway keeps in touch with: the owner, and the next,
 which takes over with what the beats told it."""
-_FORGET_AFTER: typing.Final = 20.0
+_SILENT_ROW_TTL_S: typing.Final = 20.0
 """Seconds of silence after which the owner removes a member's row; longer
 than any restart."""
-_REJOIN: typing.Final = 5.0
+_REJOIN_TIMEOUT_S: typing.Final = 5.0
 """Seconds after which a member is gone that has not written its lost row
 again: the slowest beat tells it of the restore, and it reads and writes."""
-_SMALL: typing.Final = 8
+_SMALL_DEPLOYMENT: typing.Final = 8
 """Members up to which each follows the store by itself: the calls of so few
 cost less than a beat's delay in hearing of a change."""
-_GATHER: typing.Final = 1.0
+_BATCH_DELAY_S: typing.Final = 1.0
 """Seconds between two looks at changed members; all write at once when a
 deployment starts."""
-_WRITE_PAUSE: typing.Final = 0.5
+_WRITE_RETRY_DELAY_S: typing.Final = 0.5
 _log = logs.Log('mesh')
 
-Dropped = collections.abc.Callable[[ids.MemberId], None]
+RemovalCallback = collections.abc.Callable[[ids.MemberId], None]
 
 
-class Introduction(msgspec.Struct, frozen=True):
+class MemberRow(msgspec.Struct, frozen=True):
     """A member's row."""
 
     port: int
@@ -70,10 +70,10 @@
     return '/' not in row.key
 
 
-def introduction(row: stores.Row) -> Introduction | None:
+def decode_member_row(row: stores.Row) -> MemberRow | None:
     """Return what a member's row tells; None if it can't be read."""
     try:
-        return msgspec.json.decode(row.value, type=Introduction)
+        return msgspec.json.decode(row.value, type=MemberRow)
     except msgspec.MsgspecError as error:
         _log.error('Bad member row.', member=row.key, error=str(error))
         return None
@@ -100,31 +100,31 @@
         store: stores.Store,
         outage: followers.Outage,
         me: ids.MemberId,
-        row: Introduction,
-        dropped: Dropped,
+        row: MemberRow,
+        dropped: RemovalCallback,
         begin_list: collections.abc.Callable[[], None],
         others: collections.abc.Callable[[stores.Row], None],
     ) -> None:
         self._store = store
-        self._me = me
-        self._row = row
-        self._dropped = dropped
-        self._begin_list = begin_list
-        self._others = others
-        self._newest_told = versions.NEVER
-        self._listed = versions.NEVER
-        self._is_lost = asyncio.Event()
+        self._own_id = me
+        self._own_row = row
+        self._on_removal = dropped
+        self._begin_snapshot = begin_list
+        self._on_other_row = others
+        self._newest_announced = versions.NEVER
+        self._snapshot_version = versions.NEVER
+        self._own_row_lost = asyncio.Event()
         self.members = members.Members(me)
         self.feed = followers.Follower(
             store,
             outage,
             MEMBER_TABLE,
-            self._take_all,
-            self._take_some,
-            gather=_GATHER,
-            idle=self._is_told_all,
+            self._apply_snapshot,
+            self._apply_changes,
+            batch_delay=_BATCH_DELAY_S,
+            is_idle=self._is_up_to_date,
         )
-        outage.longest_pause = self._longest_pause
+        outage.max_retry_delay = self._max_retry_delay
 
     # Who follows the store.
 
@@ -135,8 +135,11 @@
         with each beat, what is new, as long as one of them hears the store.
         """
         now = clock.now()
-        first = self.members.ordered()[:CANDIDATES]
-        if self._me in first or len(self.members.known) <= _SMALL:
+        first = self.members.ordered()[:OWNER_CANDIDATES]
+        if (
+            self._own_id in first
+            or len(self.members.known) <= _SMALL_DEPLOYMENT
+        ):
             return False
         return any(
             self.members.is_live(name, now)
@@ -144,7 +147,7 @@
             for name in first
         )
 
-    def told(
+    def record_versions(
         self, order: versions.Version, upstreams: versions.Version
     ) -> None:
         """Note which versions a member knows of.
@@ -154,9 +157,9 @@
             upstreams: up to which it knows upstreams.
         """
         restored = versions.Version(upstreams.era, 0)
-        self._newest_told = max(self._newest_told, order, restored)
+        self._newest_announced = max(self._newest_announced, order, restored)
 
-    def _is_told_all(self) -> bool:
+    def _is_up_to_date(self) -> bool:
         """Return whether the rows of members need not be read.
 
         When many restart at once, a gateway reads some rows of before. Those
@@ -164,38 +167,42 @@
         it, 80 gateways asked six owners for four seconds after a loss of
         power, and these filled the same engines.
         """
-        return self.fed_by_peers() and self.feed.version >= self._newest_told
+        return (
+            self.fed_by_peers() and self.feed.version >= self._newest_announced
+        )
 
-    def _longest_pause(self) -> float:
+    def _max_retry_delay(self) -> float:
         """Return the seconds between two questions to a store that is away.
 
         Those first in the order ask often, and so do few members.
         """
         known = len(self.members.known)
-        if self._me in self.members.ordered()[:CANDIDATES]:
+        if self._own_id in self.members.ordered()[:OWNER_CANDIDATES]:
             known = 0
-        return followers.LONGEST_PAUSE * max(1.0, known / _SMALL)
+        return followers.MAX_RETRY_DELAY_S * max(
+            1.0, known / _SMALL_DEPLOYMENT
+        )
 
     # Rows.
 
     async def join(self) -> None:
         """Write this member's row, and again each time that it is lost."""
         while True:
-            written = await self._write()
-            self._is_lost.clear()
+            written = await self._write_own_row()
+            self._own_row_lost.clear()
             self.members.joined(written.version)
             _log.info(
                 'Joined.',
-                member=self._me,
+                member=self._own_id,
                 era=written.era,
                 order=written.ver,
             )
-            await self._is_lost.wait()
+            await self._own_row_lost.wait()
 
-    async def _write(self) -> stores.Written:
+    async def _write_own_row(self) -> stores.Written:
         """Write this member's row; done once it is acknowledged."""
-        value = msgspec.json.encode(self._row)
-        entry = stores.Entry(MEMBER_TABLE, self._me, value=value)
+        value = msgspec.json.encode(self._own_row)
+        entry = stores.Entry(MEMBER_TABLE, self._own_id, value=value)
         while True:
             written = await self._store.transact(put=[entry])
             if isinstance(written, stores.Written):
@@ -206,7 +213,7 @@
                 else 'conflict'
             )
             _log.warning('Could not join yet.', detail=detail)
-            await asyncio.sleep(_WRITE_PAUSE)
+            await asyncio.sleep(_WRITE_RETRY_DELAY_S)
 
     def _check_own_row(
         self, rows: list[stores.Row], version: versions.Version
@@ -215,43 +222,43 @@
         joined = self.members.order
         if not members.NO_PLACE < joined <= version:
             return
-        number = next((row.ver for row in rows if row.key == self._me), 0)
+        number = next((row.ver for row in rows if row.key == self._own_id), 0)
         is_same_era = version.era == joined.era
         if number == joined.number or (is_same_era and number > joined.number):
             self.members.joined(versions.Version(version.era, number))
         else:
-            self._lost_own_row(version)
+            self._record_lost_row(version)
 
-    def _lost_own_row(self, version: versions.Version) -> None:
+    def _record_lost_row(self, version: versions.Version) -> None:
         _log.warning('Own row lost.', era=version.era, ver=version.number)
         self.members.lost_own_row()
-        self._is_lost.set()
+        self._own_row_lost.set()
 
-    async def tidy(self, decides: bool) -> None:
+    async def remove_stale(self, decides: bool) -> None:
         """Drop members without a row, and the row of one that is long gone.
 
         Args:
             decides: whether this member is the owner, who removes rows.
         """
         now = clock.now()
-        for name in self.members.unlisted_since(now - _REJOIN):
-            self._drop(name)
+        for name in self.members.unlisted_since(now - _REJOIN_TIMEOUT_S):
+            self._drop_member(name)
         if decides:
             await self._remove_silent(now)
 
     async def _remove_silent(self, now: float) -> None:
         for name, member in self.members.known.items():
             since = max(member.heard_at, member.found_at)
-            if name == self._me or now - since < _FORGET_AFTER:
+            if name == self._own_id or now - since < _SILENT_ROW_TTL_S:
                 continue
             if member.order.era != self.feed.version.era:
                 # The number may be another row's in this era.
                 continue
             member.found_at = now
-            await self._remove(name, member.order.number)
+            await self._remove_row(name, member.order.number)
             return
 
-    async def _remove(self, name: ids.MemberId, order: int) -> None:
+    async def _remove_row(self, name: ids.MemberId, order: int) -> None:
         row = stores.Entry(MEMBER_TABLE, name, ver=order)
         gone = stores.Entry(MEMBER_TABLE, name)
         result = await self._store.transact([row], remove=[gone])
@@ -261,45 +268,45 @@
             done=isinstance(result, stores.Written),
         )
 
-    def _take_all(
+    def _apply_snapshot(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         self._check_own_row(rows, version)
-        is_restored = versions.is_restore(self._listed, version)
-        self._listed = version
+        is_restored = versions.is_restore(self._snapshot_version, version)
+        self._snapshot_version = version
         now = clock.now()
         current = {row.key for row in rows}
         for name in self.members.known.keys() - current:
             if is_restored and self.members.keep_unlisted(name, version, now):
                 continue
-            self._drop(name)
-        self._begin_list()
-        self._take_some(rows, version)
+            self._drop_member(name)
+        self._begin_snapshot()
+        self._apply_changes(rows, version)
 
-    def _take_some(
+    def _apply_changes(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         for row in rows:
             if not is_member(row):
-                self._others(row)
+                self._on_other_row(row)
                 continue
             name = ids.MemberId(row.key)
             if row.removed:
-                self._drop(name)
+                self._drop_member(name)
                 if (
-                    name == self._me
+                    name == self._own_id
                     and members.NO_PLACE < self.members.order < version
                 ):
-                    self._lost_own_row(version)
+                    self._record_lost_row(version)
                 continue
-            told = introduction(row)
+            told = decode_member_row(row)
             if told is None:
                 continue
             order = versions.Version(version.era, row.ver)
             if self.members.put(name, told.port, order, clock.now()):
                 _log.info('Member found.', member=name, order=row.ver)
 
-    def _drop(self, name: ids.MemberId) -> None:
-        self._dropped(name)
+    def _drop_member(self, name: ids.MemberId) -> None:
+        self._on_removal(name)
         if self.members.drop(name):
             _log.info('Member gone.', member=name)
--- a/galenahatch/gateway/updates.py
+++ b/galenahatch/gateway/updates.py
@@ -18,7 +18,7 @@
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import messages
 
-_ASK_EVERY: typing.Final = 0.6
+_REQUEST_INTERVAL_S: typing.Final = 0.6
 """Seconds between two questions for news. A configuration of 350 routes
 takes a slow link that long for all members; asked for with each beat, it
 filled the owner's queue until nobody heard it any more."""
@@ -44,7 +44,7 @@
         told = messages.upstreams_version(beat)
         if beat.config_version <= config and told <= known:
             return None
-        if clock.now() - self._asked_at < _ASK_EVERY:
+        if clock.now() - self._asked_at < _REQUEST_INTERVAL_S:
             return None
         self._asked_at = clock.now()
         return messages.UpdateRequest(config, known.number, known.era)
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -185,11 +185,11 @@
                 return console.report(one)
         assert isinstance(found, stores.Rows)
         assert isinstance(held, stores.Rows)
-        holder = lease.holder(held)
+        holder = lease.current_holder(held)
         rows: list[console.Row] = []
         members = filter(roster.is_member, found.rows)
         for row in sorted(members, key=lambda row: row.ver):
-            told = roster.introduction(row)
+            told = roster.decode_member_row(row)
             where = told.data_centre if told is not None else ''
             seen = await scrapes.read(client, row.key)
             version = '' if seen is None else scrapes.version(seen)
@@ -305,7 +305,7 @@
             return console.report(found)
         rows: list[console.Row] = []
         for row in found.rows:
-            entry = None if roster.is_member(row) else quarantines.entry(row)
+            entry = None if roster.is_member(row) else quarantines.decode(row)
             if entry is not None:
                 digest = row.key.removeprefix(quarantines.ROW_PREFIX)
                 rows.append((digest, len(entry.ends), _standing(entry)))
@@ -332,7 +332,7 @@
         if isinstance(found, errors.Failure):
             return console.report(found)
         rows = [row for row in found.rows if row.key == key]
-        known = quarantines.entry(rows[0]) if rows else None
+        known = quarantines.decode(rows[0]) if rows else None
         if known is None:
             return console.report(errors.Failure(errors.NOT_FOUND, digest))
         value = msgspec.json.encode(
--- a/galenahatch/test/test_explaining.py
+++ b/galenahatch/test/test_explaining.py
@@ -99,7 +99,7 @@
     """Counters and histograms come out as scrapers read them."""
     instruments.orders.add(2, {'status': '202'})
     instruments.pause_seconds.record(0.3)
-    text = instruments.text()
+    text = instruments.render()
     assert '# TYPE galenahatch_orders_total counter' in text
     assert 'galenahatch_orders_total{status="202"} 2' in text
     assert 'galenahatch_pause_seconds_bucket{le="0.2"} 0' in text
--- a/galenahatch/test/test_follower.py
+++ b/galenahatch/test/test_follower.py
@@ -75,7 +75,7 @@
     for task in running:
         task.cancel()
     await asyncio.gather(*running, return_exceptions=True)
-    return [feed.heard_at for feed in feeds]
+    return [feed.last_answer_at for feed in feeds]
 
 
 def test_one_feed_asks_while_the_store_is_away() -> None:
@@ -100,7 +100,7 @@
         store = _Store()
         store.away = {'a', 'b'}
         outage = followers.Outage()
-        outage.longest_pause = lambda: 0.3
+        outage.max_retry_delay = lambda: 0.3
         following = asyncio.create_task(
             _follow(_feeds(store, outage, 'a', 'b'), 1.0)
         )
@@ -135,7 +135,7 @@
         store = _Store()
         store.away = {'a'}
         outage = followers.Outage()
-        outage.longest_pause = lambda: longest
+        outage.max_retry_delay = lambda: longest
         await _follow(_feeds(store, outage, 'a'), 2.0)
         return store.calls['a']
 
@@ -164,14 +164,14 @@
     seconds, and sent it calls.
     """
     old = _directory()
-    old.take_news(_told(1, 'left', 'stays'))
+    old.apply_update(_told(1, 'left', 'stays'))
     assert set(old.registry.known) == {'left', 'stays'}
     started = _directory()
-    started.take_news(_told(5, 'stays'))
-    news = started.news(
+    started.apply_update(_told(5, 'stays'))
+    news = started.update_for(
         messages.UpdateRequest(0, old.upstreams_version.number)
     )
     assert news is not None
-    old.take_news(news)
+    old.apply_update(news)
     assert set(old.registry.known) == {'stays'}
     assert old.upstreams_version == versions.Version(0, 5)
--- a/galenahatch/test/test_incarnations.py
+++ b/galenahatch/test/test_incarnations.py
@@ -260,16 +260,16 @@
     """A spoiled entry names no engine, however it was read."""
 
     async def check(directory: directories.Directory) -> None:
-        directory.entries.take_all([_row(1), _row(2, name='i-2')], _at(2))
-        directory.entries.take_some([_row(3, value)], _at(3))
+        directory.entries.replace_all([_row(1), _row(2, name='i-2')], _at(2))
+        directory.entries.apply_changes([_row(3, value)], _at(3))
         left = [u.id for u in directory.registry.usable(_SERVICE, 0.0)]
         assert left == [_id(0, 'i-2')]
-        directory.entries.take_all(
+        directory.entries.replace_all(
             [_row(3, value), _row(2, name='i-2')], _at(4)
         )
         left = [u.id for u in directory.registry.usable(_SERVICE, 0.0)]
         assert left == [_id(0, 'i-2')]
-        directory.entries.take_some([_row(5)], _at(5))
+        directory.entries.apply_changes([_row(5)], _at(5))
         assert len(directory.registry.usable(_SERVICE, 0.0)) == 2
 
     _with_directory(check)
@@ -279,8 +279,8 @@
     """A row that comes after a newer one of its key is dropped."""
 
     async def check(directory: directories.Directory) -> None:
-        directory.entries.take_all([_row(7, born=9)], _at(7))
-        directory.entries.take_some([_row(6, b'spoiled')], _at(8))
+        directory.entries.replace_all([_row(7, born=9)], _at(7))
+        directory.entries.apply_changes([_row(6, b'spoiled')], _at(8))
         assert directory.registry.takes_work(_id(9), 0.0)
 
     _with_directory(check)
@@ -290,8 +290,10 @@
     """A removal counts with the version of the reading that tells it."""
 
     async def check(directory: directories.Directory) -> None:
-        directory.entries.take_all([_row(7), _row(7, name='i-2')], _at(7))
-        directory.entries.take_some([stores.Row('i-1', 0, b'', True)], _at(8))
+        directory.entries.replace_all([_row(7), _row(7, name='i-2')], _at(7))
+        directory.entries.apply_changes(
+            [stores.Row('i-1', 0, b'', True)], _at(8)
+        )
         assert not directory.registry.takes_work(_id(0), 0.0)
 
     _with_directory(check)
@@ -302,12 +304,12 @@
 
     async def check(directory: directories.Directory) -> None:
         told: list[ids.UpstreamId] = []
-        directory.on_start(told.append)
-        directory.entries.take_all([_row(1, born=5)], _at(1))
-        directory.entries.take_some([_row(2, born=5, seq_no=2)], _at(2))
-        directory.restarted(_id(5), 9, upstreams.Stage.DECODE)
-        directory.entries.take_some([_row(3, born=9)], _at(3))
-        directory.entries.take_all([_row(4, born=12)], _at(4))
+        directory.on_restart(told.append)
+        directory.entries.replace_all([_row(1, born=5)], _at(1))
+        directory.entries.apply_changes([_row(2, born=5, seq_no=2)], _at(2))
+        directory.record_restart(_id(5), 9, upstreams.Stage.DECODE)
+        directory.entries.apply_changes([_row(3, born=9)], _at(3))
+        directory.entries.replace_all([_row(4, born=12)], _at(4))
         assert told == [_id(9), _id(12)]
 
     _with_directory(check)
--- a/galenahatch/test/test_lease.py
+++ b/galenahatch/test/test_lease.py
@@ -159,7 +159,7 @@
         call = self._calls.get(holder)
         try:
             if call is None:
-                call = self._calls[holder] = self._leases[holder].fence()
+                call = self._calls[holder] = self._leases[holder].acquire()
                 call.send(typing.cast(typing.Any, None))
             else:
                 call.send(how)
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -191,7 +191,7 @@
     """Return what a gateway knows that has read a table."""
     store = stores.Store(typing.cast(aiohttp.ClientSession, None), '')
     made = directories.Directory(store, tasks.Tasks(), _DRAIN)
-    made.entries.take_all(_rows(*keys), versions.Version(era, ver))
+    made.entries.replace_all(_rows(*keys), versions.Version(era, ver))
     return made
 
 
@@ -212,7 +212,7 @@
 def test_peers_tell_eras(news: messages.Update, known: set[str]) -> None:
     """Of a later era counts what is whole, of an earlier one nothing."""
     gateway = _knows(1, 40, 'i-1', 'i-2')
-    gateway.take_news(news)
+    gateway.apply_update(news)
     found = {incarnations.instance(one) for one in gateway.registry.known}
     assert found == known
 
@@ -227,7 +227,7 @@
     """What has gone since the restore can't be told to it row by row."""
     era, ver = asked
     gateway = _knows(2, 5, 'i-1')
-    news = gateway.news(messages.UpdateRequest(0, ver, era))
+    news = gateway.update_for(messages.UpdateRequest(0, ver, era))
     assert (news.is_complete if news else None) is told
 
 
@@ -270,10 +270,10 @@
     version = versions.Version(int(era), int(number))
     row = stores.Row('i-1', int(ver), _KINDS.get(kind, b''), kind == 'gone')
     if what == 'some':
-        known.entries.take_some([row], version)
+        known.entries.apply_changes([row], version)
     else:
         listed = [row] if kind in _KINDS else []
-        known.entries.take_all([*listed, *_rows('i-2')], version)
+        known.entries.replace_all([*listed, *_rows('i-2')], version)
 
 
 # Guards against: an older copy of the store brings back what is known better,
@@ -290,7 +290,7 @@
         _take(known, step)
     found = ''
     for now in (100.0, 102.1, 107.0):
-        known.entries.settle()
+        known.entries.accept_settled()
         usable = known.registry.usable(ids.ServiceName('desk'), now)
         starts = {str(one.id) for one in usable}
         found += next((b for b in '79' if f'i-1@{b}' in starts), '-')
--- a/galenahatch/test/test_suspensions.py
+++ b/galenahatch/test/test_suspensions.py
@@ -96,7 +96,7 @@
 def test_lease_runs_out_in_a_suspension(vm: _Vm) -> None:
     """No order goes out with a lease that others hold by now."""
     lease = leases.Lease(_Rows(vm), ids.MemberId('me'), 3.0)
-    assert asyncio.run(lease.fence()) is None
+    assert asyncio.run(lease.acquire()) is None
 
 
 def _ends_in(vm: _Vm, wait: collections.abc.Callable[[], typing.Any]) -> float:
