--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -10,16 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Gateways find each other, and agree well enough on who decides.
-
-Each gateway writes one row at its start. The store numbers its writes, so
-the rows have an order that all see alike: who has been there longest comes
-first. The owner is the first member of that order that answers. Two
-gateways may disagree for a moment; engines then refuse what is too much,
-before they start it, and no promise rests on agreement.
-
-Beats go to the members at the front of the order only, until two of them
-answer. So each gateway has a few connections, however many there are.
+"""Membership of gateways and choice of the owner, which makes decisions.
+
+Each gateway writes one row at startup. The store numbers its writes, so all
+gateways see the rows in the same order, oldest first. The owner is the first
+member in that order that answers. Two gateways may briefly disagree; engines
+then refuse excess work before they start it, so no guarantee depends on
+agreement. Heartbeats go only to the first members, until two of them answer,
+so each gateway has a few connections regardless of the number of gateways.
 """
 
 import asyncio
@@ -35,41 +33,45 @@
 from galenahatch.gateway import frames
 from galenahatch.gateway import instruments
 from galenahatch.gateway import messages
-from galenahatch.gateway import news
 from galenahatch.gateway import notices
 from galenahatch.gateway import outcomes
 from galenahatch.gateway import quarantine
 from galenahatch.gateway import ratelimits
 from galenahatch.gateway import records
 from galenahatch.gateway import roster as rosters
+from galenahatch.gateway import updates
 from galenahatch import ids
 from galenahatch import logs
 from galenahatch.platform import store as stores
 from galenahatch import tasks
 from galenahatch import timeouts
 
-_STARTING: typing.Final = 2.0
+_STARTUP_S: typing.Final = 2.0
 """Seconds in which others that were ended at the same time are back."""
 _log = logs.Log('mesh')
 
 CODEC: typing.Final = bus.Codec[frames.AnyMessage](
     frames.encode, frames.decode
 )
-_FIRST: typing.Final = (messages.Place, messages.Change, messages.Permit)
+_BEFORE_HEARTBEAT: typing.Final = (
+    messages.PlacementRequest,
+    messages.StageChangeRequest,
+    messages.PermitRequest,
+)
 """Messages that a gateway may send before its first beat."""
 Handler = collections.abc.Callable[[ids.MemberId, frames.AnyMessage], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Exchanges:
-    """What gateways tell each other with their beats.
+    """Components whose state gateways exchange in heartbeats.
 
     Attributes:
-        outcomes: what sends to plain upstreams came to.
-        guard: what is known of requests that end upstreams.
-        accounts: what customers use of their quotas.
-        rate_limits: that upstreams name.
-        notices: what else upstreams' answers say.
+        outcomes: results of sends to plain upstreams.
+        guard: requests that may end upstreams.
+        accounts: use of quotas by customers.
+        rate_limits: limits that upstreams announce.
+        notices: other announcements in answers of upstreams.
     """
 
     outcomes: outcomes.OutcomeExchange
@@ -116,23 +118,23 @@
             store,
             directory.outage,
             ids.MemberId(address),
-            rosters.Introduction(port, data_centre),
-            self._drop,
-            self._guard.begin_list,
-            self._guard.take,
+            rosters.MemberRow(port, data_centre),
+            self._close_link,
+            self._guard.begin_snapshot,
+            self._guard.apply_row,
         )
         self._members = self._roster.members
         self._links: dict[ids.MemberId, bus.Link[frames.AnyMessage]] = {}
         self._peers: dict[ids.MemberId, bus.Peer] = {}
-        self._names: dict[bus.Peer, ids.MemberId] = {}
-        self._asking = news.Asking(directory)
-        self._began_at = clock.now()
+        self._member_ids: dict[bus.Peer, ids.MemberId] = {}
+        self._update_requester = updates.UpdateRequester(directory)
+        self._started_at = clock.now()
         self._owner = ids.MemberId('')
         self.me = ids.MemberId(address)
         self.leaving = False
-        self.held: collections.abc.Callable[[], tuple[messages.Held, ...]] = (
-            tuple
-        )
+        self.running_generations: collections.abc.Callable[
+            [], tuple[messages.RunningGeneration, ...]
+        ] = tuple
         self.figures: collections.abc.Callable[
             [], tuple[records.Figures, ...]
         ] = tuple
@@ -140,10 +142,10 @@
         self._connect_exchanges()
 
     def _connect_exchanges(self) -> None:
-        """Tell the parts that exchange words how others are reached."""
+        """Give the exchanging components access to the other gateways."""
         self._directory.fed_by_peers = self._roster.fed_by_peers
         self._guard.announce = self._announce
-        self._accounts.on_usage = self._announce_used
+        self._accounts.on_usage = self._announce_usage
         self._accounts.gateway_count = lambda: self.size
         self._rate_limits.set_peers(self)
         self._notices.tell_owner = self.tell_owner
@@ -157,8 +159,8 @@
         """Join, and start to talk."""
         self._tasks.keep('join', self._roster.join)
         self._tasks.keep('member feed', self._roster.feed.run)
-        self._tasks.keep('listening', self._listen)
-        self._tasks.keep('beats', self._beats)
+        self._tasks.keep('listening', self._watch_event_loop)
+        self._tasks.keep('beats', self._send_heartbeats)
         self._tasks.keep(
             'quarantine',
             lambda: self._guard.run(lambda: self._owner == self.me),
@@ -170,17 +172,15 @@
         for link in self._links.values():
             link.close()
 
-    # Who decides.
-
     def owner(self) -> ids.MemberId:
         """Return the first member that answers; this one in the end."""
-        return self._chosen(self._members.owner(self.leaving, clock.now()))
+        return self._set_owner(self._members.owner(self.leaving, clock.now()))
 
     def is_live(self, name: ids.MemberId) -> bool:
         """Return whether a member answers."""
         return name == self.me or self._members.is_live(name, clock.now())
 
-    def hearing(self) -> ids.MemberId | None:
+    def member_reaching_store(self) -> ids.MemberId | None:
         """Return another member that hears the store, if there is one."""
         return self._members.hearing(clock.now())
 
@@ -200,16 +200,14 @@
         if peer is not None:
             self._hub.send(peer, message)
 
-    def _chosen(self, name: ids.MemberId) -> ids.MemberId:
+    def _set_owner(self, name: ids.MemberId) -> ids.MemberId:
         if name != self._owner:
             instruments.owner_changes.add(1)
             _log.info('Owner changed.', owner=name, before=self._owner)
             self._owner = name
         return name
 
-    # Beats.
-
-    async def _listen(self) -> None:
+    async def _watch_event_loop(self) -> None:
         suspension = clock.Suspension()
         while True:
             suspended = suspension.look()
@@ -222,47 +220,47 @@
                 _log.warning('Stalled.', seconds=stalled)
             await asyncio.sleep(members.LISTEN_EVERY)
 
-    async def _beats(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            self._beat()
-            await self._roster.tidy(self._owner == self.me)
+            self._send_heartbeat()
+            await self._roster.remove_stale(self._owner == self.me)
             await asyncio.sleep(members.BEAT_EVERY * self._members.slower)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = clock.now()
-        message = messages.Beat(
+        message = messages.Heartbeat(
             self.me,
             self._incarnation,
             self._directory.config_version,
             self._directory.upstreams_version.number,
             self.leaving,
-            self.held(),
+            self.running_generations(),
             self._exchange.take_unreported(),
             self._members.order.number,
-            self._directory.hears_store,
-            self._guard.tell(),
+            self._directory.reaches_store,
+            self._guard.suspicions(),
             self._accounts.take_unreported(),
             self._rate_limits.snapshot(),
-            self._notices.tell(),
+            self._notices.leaving_upstreams(),
             self._directory.upstreams_version.era,
             self._members.order.era,
         )
         if self._members.owner(self.leaving, now) == self.me:
             self._exchange.apply_own_totals()
-            part = self._part(now)
+            part = self._reachable_share(now)
         else:
             part = 1.0
         self._accounts.set_owned_share(part)
         self._rate_limits.set_owned_share(part)
         self.tell_owner(message)
 
-    def _part(self, now: float) -> float:
-        """Return for which part of all members this one decides.
+    def _reachable_share(self, now: float) -> float:
+        """Return the share of all members for which this one decides.
 
-        One that has just started holds hardly anything of a quota, and can't
-        tell those that start beside it from those that are cut off.
+        A member that has just started has used hardly any quota, and can't
+        tell members that are starting from unreachable ones.
         """
-        if now - self._began_at < _STARTING:
+        if now - self._started_at < _STARTUP_S:
             return 1.0
         return self._members.part_heard(now)
 
@@ -271,7 +269,7 @@
         now = clock.now()
         live = 0
         for name in self._members.ordered():
-            if live >= rosters.CANDIDATES:
+            if live >= rosters.OWNER_CANDIDATES:
                 break
             live += name == self.me or self._members.is_live(name, now)
             if name != self.me:
@@ -286,11 +284,11 @@
         else:
             self.tell_owner(message)
 
-    def _announce_used(self, used: tuple[messages.Used, ...]) -> None:
+    def _announce_usage(self, used: tuple[messages.QuotaUse, ...]) -> None:
         """Tell the owner, and the next one, at once what was used here."""
-        self.tell_owner(messages.Spent(used))
+        self.tell_owner(messages.QuotaUsage(used))
 
-    def _drop(self, name: ids.MemberId) -> None:
+    def _close_link(self, name: ids.MemberId) -> None:
         link = self._links.pop(name, None)
         if link is not None:
             link.close()
@@ -306,86 +304,86 @@
             )
         return link
 
-    # Messages that come in.
-
     def _from_hub(self, peer: bus.Peer, message: frames.AnyMessage) -> None:
-        if isinstance(message, messages.Beat):
-            self._meet(message.member, peer)
-            self._hear(message.member, message)
+        if isinstance(message, messages.Heartbeat):
+            self._record_peer(message.member, peer)
+            self._record_heartbeat(message.member, message)
             self._exchange.add_reported(message.outcomes)
             self._accounts.add_reported(message.used)
             self._rate_limits.merge_reported(message.rate_limits)
-            self._notices.hear(message.leaving_upstreams)
-            self._guard.hear(message.suspicions)
+            self._notices.merge(message.leaving_upstreams)
+            self._guard.merge(message.suspicions)
             self.reply(
                 message.member,
-                messages.BeatBack(
+                messages.HeartbeatReply(
                     self.me,
                     self._incarnation,
                     self._directory.config_version,
                     self._directory.upstreams_version.number,
                     self.leaving,
-                    self._directory.hears_store,
+                    self._directory.reaches_store,
                     self.size,
                     self.figures(),
                     self._exchange.totals(),
                     self._members.order.number,
-                    self._guard.tell(),
+                    self._guard.suspicions(),
                     self._accounts.nearly_exhausted(),
                     self._rate_limits.snapshot(),
-                    self._notices.tell(),
+                    self._notices.leaving_upstreams(),
                     self._directory.upstreams_version.era,
                     self._members.order.era,
                 ),
             )
-            self._compare(message)
+            self._request_update(message)
             self._handler(message.member, message)
             return
-        if isinstance(message, _FIRST):
-            self._meet(message.member, peer)
-        name = self._names.get(peer)
+        if isinstance(message, _BEFORE_HEARTBEAT):
+            self._record_peer(message.member, peer)
+        name = self._member_ids.get(peer)
         if name is not None:
-            self._take(name, message, self.reply)
+            self._dispatch(name, message, self.reply)
 
     def _from_link(
         self, name: ids.MemberId, message: frames.AnyMessage
     ) -> None:
-        if isinstance(message, messages.BeatBack):
-            self._hear(name, message)
-            self._members.told_size(message.members)
+        if isinstance(message, messages.HeartbeatReply):
+            self._record_heartbeat(name, message)
+            self._members.told_size(message.member_count)
             if name == self._members.owner(self.leaving, clock.now()):
                 self._exchange.apply_owner_totals(message.outcomes)
-            self._accounts.apply_remaining(message.low)
+            self._accounts.apply_remaining(message.low_quotas)
             self._rate_limits.merge_reported(message.rate_limits)
-            self._notices.hear(message.leaving_upstreams)
-            self._guard.hear(message.suspicions)
-            self._compare(message)
+            self._notices.merge(message.leaving_upstreams)
+            self._guard.merge(message.suspicions)
+            self._request_update(message)
             self._handler(name, message)
             return
-        self._take(name, message, self.send)
+        self._dispatch(name, message, self.send)
 
-    def _hear(
-        self, name: ids.MemberId, beat: messages.Beat | messages.BeatBack
+    def _record_heartbeat(
+        self,
+        name: ids.MemberId,
+        beat: messages.Heartbeat | messages.HeartbeatReply,
     ) -> None:
         """Take what a member tells of itself."""
-        order = messages.place(beat)
-        self._roster.told(order, messages.upstreams_version(beat))
+        order = messages.order_version(beat)
+        self._roster.record_versions(order, messages.upstreams_version(beat))
         self._members.heard(
             name, clock.now(), beat.leaving, beat.incarnation, order
         )
-        feeds = beat.hears_store and self._asking.is_current(beat)
+        feeds = beat.reaches_store and self._update_requester.is_current(beat)
         self._members.told_store(name, feeds)
 
-    def _meet(self, name: ids.MemberId, peer: bus.Peer) -> None:
+    def _record_peer(self, name: ids.MemberId, peer: bus.Peer) -> None:
         """Remember by which connection a member can be answered."""
         before = self._peers.get(name)
         if before != peer:
             if before is not None:
-                self._names.pop(before, None)
+                self._member_ids.pop(before, None)
             self._peers[name] = peer
-            self._names[peer] = name
+            self._member_ids[peer] = name
 
-    def _take(
+    def _dispatch(
         self,
         name: ids.MemberId,
         message: frames.AnyMessage,
@@ -394,33 +392,35 @@
         ],
     ) -> None:
         self._members.heard(name, clock.now())
-        if isinstance(message, messages.Ask):
-            news = self._directory.news(message)
+        if isinstance(message, messages.UpdateRequest):
+            news = self._directory.update_for(message)
             if news is not None:
                 answer(name, news)
-        elif isinstance(message, messages.News):
-            self._directory.take_news(message)
+        elif isinstance(message, messages.Update):
+            self._directory.apply_update(message)
         elif isinstance(message, messages.Suspicions):
-            self._guard.hear(message.told)
+            self._guard.merge(message.suspicions)
         elif isinstance(message, messages.RateLimits):
-            self._rate_limits.merge_reported(message.told)
-        elif isinstance(message, messages.Leaving):
-            self._notices.hear(message.upstreams)
-        elif isinstance(message, messages.Spent):
+            self._rate_limits.merge_reported(message.limits)
+        elif isinstance(message, messages.LeavingUpstreams):
+            self._notices.merge(message.upstreams)
+        elif isinstance(message, messages.QuotaUsage):
             self._accounts.add_reported(message.used)
             levels = self._accounts.remaining(message.used)
-            answer(name, messages.Left(levels))
-        elif isinstance(message, messages.Left):
+            answer(name, messages.QuotaLevels(levels))
+        elif isinstance(message, messages.QuotaLevels):
             self._accounts.apply_remaining(message.levels)
         else:
             self._handler(name, message)
 
-    def _compare(self, beat: messages.Beat | messages.BeatBack) -> None:
+    def _request_update(
+        self, beat: messages.Heartbeat | messages.HeartbeatReply
+    ) -> None:
         """Ask for what a member knows and this one does not."""
-        ask = self._asking.question(beat)
+        ask = self._update_requester.request_for(beat)
         if ask is None:
             return
-        if isinstance(beat, messages.Beat):
+        if isinstance(beat, messages.Heartbeat):
             self.reply(beat.member, ask)
         else:
             self.send(beat.member, ask)
--- a/galenahatch/gateway/owner_client.py
+++ b/galenahatch/gateway/owner_client.py
@@ -44,7 +44,7 @@
 cut owner costs a request this much and not its objective."""
 _LOOK_AGAIN: typing.Final = 0.25
 """Seconds between two looks at whether the owner still answers."""
-PlacementResult = messages.PlacedAt | messages.GivenUp
+PlacementResult = messages.Placement | messages.PlacementRefused
 
 
 @dataclasses.dataclass
@@ -87,7 +87,7 @@
         began_at: when its first event came.
     """
 
-    held: messages.Held
+    held: messages.RunningGeneration
     made: collections.abc.Callable[[], int]
     began_at: float | None = None
 
@@ -127,7 +127,7 @@
     def start(self, mesh: meshes.Mesh, background: tasks.Tasks) -> None:
         """Start to decide and to ask."""
         self._mesh = mesh
-        mesh.held = self._held_now
+        mesh.running_generations = self._held_now
         mesh.figures = self.owner.figures
         self.owner.start(background)
 
@@ -135,7 +135,7 @@
         self, member: ids.MemberId, message: frames.AnyMessage
     ) -> None:
         """Take a message of another gateway."""
-        if isinstance(message, messages.BeatBack):
+        if isinstance(message, messages.HeartbeatReply):
             self.owner.adopt_figures(message)
         elif isinstance(message, owners.OwnerReply):
             self._take_word(member, message)
@@ -163,7 +163,7 @@
                 if isinstance(word, messages.Queued):
                     word = await self._last_word(owner, words)
                 if isinstance(word, PlacementResult):
-                    if isinstance(word, messages.PlacedAt):
+                    if isinstance(word, messages.Placement):
                         self._placed_by[wish.stream] = owner
                     return word
                 self._tell(owner, messages.Withdraw(wish.stream))
@@ -176,29 +176,29 @@
     def _submit(self, owner: ids.MemberId, wish: PlacementRequest) -> None:
         assert self._mesh is not None
         now = clock.now()
-        message = messages.Place(
+        message = messages.PlacementRequest(
             stream=wish.stream,
             member=self._mesh.me,
             service=wish.service,
-            prompt=wish.prompt_tokens,
-            hint=wish.estimated_output,
-            most=wish.max_output,
-            start_within=wish.start_by - now,
+            prompt_tokens=wish.prompt_tokens,
+            length_hint=wish.estimated_output,
+            max_tokens=wish.max_output,
+            first_event_within=wish.start_by - now,
             end_within=wish.deadline - now,
             subject=wish.last_block_id,
             data_centre=self._data_centre,
             avoid=wish.avoid,
-            going_on=wish.is_resumed,
-            is_read=wish.is_prefilled,
+            is_continuation=wish.is_resumed,
+            is_prefilled=wish.is_prefilled,
             leave_within=wish.caller_leaves_at - now,
             longest_pause=wish.longest_pause,
             attempt=wish.attempt,
-            extra=wish.extra_sends,
+            extra_sends=wish.extra_sends,
             is_suspect=wish.is_suspect,
             customer=wish.customer,
             units=wish.quota_units,
             priority=wish.priority,
-            paused=tuple(
+            pauses=tuple(
                 records.Paused(*item) for item in self._paused().items()
             ),
         )
@@ -231,7 +231,9 @@
                 return word
 
     def track_running(
-        self, held: messages.Held, made: collections.abc.Callable[[], int]
+        self,
+        held: messages.RunningGeneration,
+        made: collections.abc.Callable[[], int],
     ) -> None:
         """Note a generation that was sent to its decode engine.
 
@@ -273,14 +275,16 @@
     def refund_units(self, customer: ids.CustomerName, units: float) -> None:
         """Tell that a generation which was granted units has not run."""
         assert self._mesh is not None
-        message = messages.GivenBack(customer, units)
+        message = messages.QuotaRefund(customer, units)
         self._tell(self._mesh.owner(), message)
 
-    def _held_now(self) -> tuple[messages.Held, ...]:
+    def _held_now(self) -> tuple[messages.RunningGeneration, ...]:
         now = clock.now()
         return tuple(
             msgspec.structs.replace(
-                running.held, since=now - running.began_at, made=running.made()
+                running.held,
+                first_event_age=now - running.began_at,
+                tokens_generated=running.made(),
             )
             if running.began_at is not None
             else running.held
@@ -300,6 +304,6 @@
         words = self._asked.get(word.stream)
         if words is not None:
             words.put_nowait(word)
-        elif isinstance(word, messages.PlacedAt):
+        elif isinstance(word, messages.Placement):
             if self._placed_by.get(word.stream) != member:
                 self._tell(member, messages.Withdraw(word.stream))
--- a/galenahatch/gateway/ratelimits.py
+++ b/galenahatch/gateway/ratelimits.py
@@ -101,8 +101,8 @@
         self._numbers = itertools.count()
         self._labels: set[ids.UpstreamId] = set()
         self._peers: Peers | None = None
-        instruments.watch(instruments.RATE_LIMIT, self._rates)
-        instruments.watch(instruments.LIMITED_SECONDS, self._ages)
+        instruments.register_gauge(instruments.RATE_LIMIT, self._rates)
+        instruments.register_gauge(instruments.LIMITED_SECONDS, self._ages)
 
     def set_peers(self, peers: Peers) -> None:
         """Talk to other gateways from now on."""
@@ -200,15 +200,17 @@
         self, member: ids.MemberId, message: frames.AnyMessage
     ) -> None:
         """Take a question, or the answer to one."""
-        if isinstance(message, messages.Permitted):
+        if isinstance(message, messages.PermitReply):
             question = self._questions.get(message.number)
             if question is not None and not question.done():
                 question.set_result(message.wait)
-        elif isinstance(message, messages.Permit):
+        elif isinstance(message, messages.PermitRequest):
             assert self._peers is not None
             self.merge_reported((message.limit,))
             wait = self._decide(message.limit.upstream)
-            self._peers.reply(member, messages.Permitted(message.number, wait))
+            self._peers.reply(
+                member, messages.PermitReply(message.number, wait)
+            )
 
     # Plain calls.
 
@@ -259,7 +261,9 @@
         notice = self._notices.known[upstream]
         age = max(0.0, clock.now() - notice.at)
         limit = records.RateLimit(upstream, notice.rate, age)
-        self._peers.send(owner, messages.Permit(self._peers.me, number, limit))
+        self._peers.send(
+            owner, messages.PermitRequest(self._peers.me, number, limit)
+        )
         try:
             async with timeouts.limit(_ANSWER_WITHIN):
                 return float(await question)
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -86,7 +86,7 @@
         found = [
             engine
             for engine in registry.usable(service, now)
-            if not self._notices.pause_left(engine.id)
+            if not self._notices.pause_seconds_left(engine.id)
             and self._limiter.may_probe(engine.id, now)
         ]
         replies = await asyncio.gather(
@@ -120,7 +120,7 @@
         """Take the report of an engine, of its present start alone."""
         told = (incarnations.UNKNOWN_START, incarnations.started_ms(engine))
         if report.born not in told:
-            later = self._directory.restarted(
+            later = self._directory.record_restart(
                 engine, report.born, report.stage
             )
             if later is None:
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -178,20 +178,20 @@
 
 def _news(
     era: int, ver: int, *keys: str, after: int | None = None
-) -> messages.News:
+) -> messages.Update:
     told = tuple(
-        messages.NewsRow(row.key, row.ver, row.value)
+        messages.UpdateRow(row.key, row.ver, row.value)
         for row in _rows(*keys, ver=ver)
     )
     is_whole = after is None
-    return messages.News(b'', after or -1, ver, told, is_whole, era)
+    return messages.Update(b'', after or -1, ver, told, is_whole, era)
 
 
 def _knows(era: int, ver: int, *keys: str) -> directories.Directory:
     """Return what a gateway knows that has read a table."""
     store = stores.Store(typing.cast(aiohttp.ClientSession, None), '')
     made = directories.Directory(store, tasks.Tasks(), _DRAIN)
-    made.entries.take_all(_rows(*keys), versions.Version(era, ver))
+    made.entries.replace_all(_rows(*keys), versions.Version(era, ver))
     return made
 
 
@@ -209,10 +209,10 @@
         (_news(0, 99, 'i-3', after=40), {'i-1', 'i-2'}),
     ],
 )
-def test_peers_tell_eras(news: messages.News, known: set[str]) -> None:
+def test_peers_tell_eras(news: messages.Update, known: set[str]) -> None:
     """Of a later era counts what is whole, of an earlier one nothing."""
     gateway = _knows(1, 40, 'i-1', 'i-2')
-    gateway.take_news(news)
+    gateway.apply_update(news)
     found = {
         incarnations.instance_id(one) for one in gateway.registry.upstreams
     }
@@ -229,8 +229,8 @@
     """What has gone since the restore can't be told to it row by row."""
     era, ver = asked
     gateway = _knows(2, 5, 'i-1')
-    news = gateway.news(messages.Ask(0, ver, era))
-    assert (news.is_whole if news else None) is told
+    news = gateway.update_for(messages.UpdateRequest(0, ver, era))
+    assert (news.is_complete if news else None) is told
 
 
 @pytest.mark.parametrize(
@@ -272,10 +272,10 @@
     version = versions.Version(int(era), int(number))
     row = stores.Row('i-1', int(ver), _KINDS.get(kind, b''), kind == 'gone')
     if what == 'some':
-        known.entries.take_some([row], version)
+        known.entries.apply_changes([row], version)
     else:
         listed = [row] if kind in _KINDS else []
-        known.entries.take_all([*listed, *_rows('i-2')], version)
+        known.entries.replace_all([*listed, *_rows('i-2')], version)
 
 
 # Guards against: an older copy of the store brings back what is known better,
@@ -292,7 +292,7 @@
         _take(known, step)
     found = ''
     for now in (100.0, 102.1, 107.0):
-        known.entries.settle()
+        known.entries.accept_settled()
         usable = known.registry.usable(ids.ServiceName('desk'), now)
         starts = {str(one.id) for one in usable}
         found += next((b for b in '79' if f'i-1@{b}' in starts), '-')
