--- a/galenahatch/core/balance.py
+++ b/galenahatch/core/balance.py
@@ -95,7 +95,7 @@
         """Note a request that is sent."""
         self._state(upstream).in_flight += 1
 
-    def left(self, upstream: ids.UpstreamId) -> None:
+    def cancel(self, upstream: ids.UpstreamId) -> None:
         """Note a send whose caller left: it tells nothing of the upstream."""
         state = self._state(upstream)
         state.in_flight = max(0, state.in_flight - 1)
@@ -118,8 +118,8 @@
         Returns:
             whether the upstream is avoided, if that has changed; else None.
         """
-        self.left(upstream)
-        self.outliers.note(upstream, good, now)
+        self.cancel(upstream)
+        self.outliers.record(upstream, good, now)
         shares = [self.outliers.share(s.id, now) for s in siblings]
         usual = min((share.likely for share in shares), default=0.0)
         excess = self.outliers.share(upstream, now).least - usual
@@ -130,7 +130,7 @@
         state.avoided = avoided
         return avoided
 
-    def told_load(
+    def record_load(
         self, upstream: ids.UpstreamId, load: int, now: float
     ) -> None:
         """Take the load that an answer told."""
@@ -138,9 +138,9 @@
         state.told = load
         state.told_at = now
 
-    def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
+    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
-        self.outliers.forget(known)
+        self.outliers.prune(known)
         for gone in [key for key in self._states if key not in known]:
             del self._states[gone]
 
--- a/galenahatch/core/events.py
+++ b/galenahatch/core/events.py
@@ -38,7 +38,7 @@
         self._rest = b''
 
     @property
-    def rest(self) -> bytes:
+    def partial(self) -> bytes:
         """Bytes of an event that is not whole yet."""
         return self._rest
 
@@ -56,6 +56,6 @@
         self._rest = data[end:]
         return data[:end]
 
-    def restart(self) -> None:
+    def drop_partial(self) -> None:
         """Drop what is not whole: another engine goes on."""
         self._rest = b''
--- a/galenahatch/core/extras.py
+++ b/galenahatch/core/extras.py
@@ -59,7 +59,7 @@
         return len(self._times)
 
 
-class SharedBudget:
+class LocalBudget:
     """Sends beyond the first that this VM may make.
 
     Args:
@@ -80,7 +80,7 @@
         """Note how many VMs may share; the largest number counts."""
         self._members = max(self._members, members)
 
-    def request(self, service: ids.ServiceName, now: float) -> None:
+    def record_request(self, service: ids.ServiceName, now: float) -> None:
         """Note a request of a caller."""
         _window(self._requests, service, self._window).add(now)
 
@@ -92,7 +92,7 @@
         extras.add(now)
         return True
 
-    def forced(self, service: ids.ServiceName, now: float) -> None:
+    def record_unbudgeted(self, service: ids.ServiceName, now: float) -> None:
         """Note an extra send that was made without asking."""
         _window(self._extras, service, self._window).add(now)
 
@@ -102,7 +102,7 @@
         return _MARGIN * (self._ratio * requests + share)
 
 
-class GrantedBudget:
+class OwnerBudget:
     """Sends beyond the first that one owner grants to all VMs.
 
     Two owners that can't reach each other grant to different VMs. So each
@@ -128,11 +128,11 @@
         """Note how many VMs there may be; the largest number counts."""
         self._members = max(self._members, members)
 
-    def heard(self, member: ids.MemberId, now: float) -> None:
+    def record_heartbeat(self, member: ids.MemberId, now: float) -> None:
         """Note a beat of another VM."""
         self._heard[member] = now
 
-    def request(self, service: ids.ServiceName, now: float) -> None:
+    def record_request(self, service: ids.ServiceName, now: float) -> None:
         """Note a request of a caller."""
         _window(self._requests, service, self._window).add(now)
 
--- a/galenahatch/core/fate.py
+++ b/galenahatch/core/fate.py
@@ -48,7 +48,7 @@
         self._open = False
 
     @property
-    def surely_not_run(self) -> bool:
+    def cannot_have_run(self) -> bool:
         """Whether no upstream has begun the request, nor ever will."""
         return not self.ran and not self._open
 
--- a/galenahatch/core/outliers.py
+++ b/galenahatch/core/outliers.py
@@ -55,7 +55,7 @@
     least: float
 
 
-NOTHING: typing.Final = Count(0.0, 0.0)
+EMPTY_COUNT: typing.Final = Count(0.0, 0.0)
 Counts = dict[ids.UpstreamId, Count]
 
 
@@ -97,12 +97,12 @@
         else:
             found.add(more, now)
 
-    def seen(self, upstream: ids.UpstreamId, now: float) -> Count:
+    def get(self, upstream: ids.UpstreamId, now: float) -> Count:
         """Return what counts now."""
         found = self._fading.get(upstream)
-        return found.seen(now) if found is not None else NOTHING
+        return found.seen(now) if found is not None else EMPTY_COUNT
 
-    def all(self, now: float) -> Counts:
+    def failing(self, now: float) -> Counts:
         """Return the upstreams that failed, with what counts of them now.
 
         Upstreams without a failure need not be told: their share is zero,
@@ -111,7 +111,7 @@
         seen = {key: one.seen(now) for key, one in self._fading.items()}
         return {key: count for key, count in seen.items() if count.failures}
 
-    def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
+    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
         for gone in [key for key in self._fading if key not in known]:
             del self._fading[gone]
@@ -126,37 +126,37 @@
         self._told: Counts = {}
         self._told_at = -math.inf
 
-    def note(self, upstream: ids.UpstreamId, good: bool, now: float) -> None:
+    def record(self, upstream: ids.UpstreamId, good: bool, now: float) -> None:
         """Take what a send of this VM came to."""
         count = Count(1.0, 0.0 if good else 1.0)
         self._own.add(upstream, count, now)
-        before = self._new.get(upstream, NOTHING)
+        before = self._new.get(upstream, EMPTY_COUNT)
         self._new[upstream] = Count(
             before.sends + count.sends, before.failures + count.failures
         )
 
-    def take_new(self) -> Counts:
+    def take_unreported(self) -> Counts:
         """Return what came since the last call, to be told."""
         new = self._new
         self._new = {}
         return new
 
-    def hear(self, told: Counts, now: float) -> None:
+    def set_totals(self, told: Counts, now: float) -> None:
         """Take the sums of all VMs."""
         self._told = told
         self._told_at = now
 
     def share(self, upstream: ids.UpstreamId, now: float) -> Share:
         """Return the part of the sends that failed."""
-        own = self._own.seen(upstream, now)
-        told = self._told.get(upstream, NOTHING)
+        own = self._own.get(upstream, now)
+        told = self._told.get(upstream, EMPTY_COUNT)
         told = _faded(told, now - self._told_at)
         sends = own.sends + told.sends + _BENEFIT
         share = (own.failures + told.failures) / sends
         return Share(share, share - math.sqrt(share * (1 - share) / sends))
 
-    def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
+    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
-        self._own.forget(known)
+        self._own.prune(known)
         for gone in [key for key in self._new if key not in known]:
             del self._new[gone]
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -403,7 +403,7 @@
     def _given_up(self, given_up: messages.GivenUp) -> errors.Failure:
         if self._relay.has_reached_caller:
             raise Broken(given_up.why)
-        if not self._sends.surely_not_run:
+        if not self._sends.cannot_have_run:
             return errors.Failure(errors.SEND_INTERRUPTED, given_up.why)
         if given_up.is_over_quota:
             return accounts.failure(given_up.why, given_up.retry_after)
@@ -414,7 +414,7 @@
     def _failure(self) -> errors.Failure:
         if self._relay.has_reached_caller:
             raise Broken(self._detail)
-        if self._sends.surely_not_run:
+        if self._sends.cannot_have_run:
             return means_module.refusal(
                 errors.NO_ENGINE, self._detail, _RETRY_AFTER
             )
--- a/galenahatch/gateway/means.py
+++ b/galenahatch/gateway/means.py
@@ -51,7 +51,7 @@
     directory: directories.Directory
     sender: senders.Sender
     balancer: balance.Balancer
-    budget: extras.SharedBudget
+    budget: extras.LocalBudget
     ownership: ownerships.Ownership
     guard: quarantine.Guard
     accounts: accounts_module.Accounts
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -118,10 +118,10 @@
         self._sender.on_head = self._answered
         self._directory.on_start(self._end_waits)
         bounds = settings.bounds
-        self._budget = extras.SharedBudget(
+        self._budget = extras.LocalBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
-        self._grants = extras.GrantedBudget(
+        self._grants = extras.OwnerBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
         self._accounts = accounts_module.Accounts(
@@ -248,7 +248,7 @@
             self._budget.set_members(self._mesh.size)
             self._grants.set_members(self._mesh.size)
             known = self._directory.registry.known
-            self._balancer.forget(known)
+            self._balancer.prune(known)
             self._exchange.forget(known)
             self._rate_limits.forget(known)
             self._notices.forget(known)
--- a/galenahatch/gateway/outcomes.py
+++ b/galenahatch/gateway/outcomes.py
@@ -43,7 +43,7 @@
 
     def take_new(self) -> tuple[messages.Outcomes, ...]:
         """Return what came since the last call, for the next beat."""
-        new = self._known.take_new()
+        new = self._known.take_unreported()
         self._add(new)
         return _told(new)
 
@@ -53,20 +53,20 @@
 
     def sums(self) -> tuple[messages.Outcomes, ...]:
         """Return the sums over all gateways that tell this one."""
-        return _told(self._sums.all(clock.now()))
+        return _told(self._sums.failing(clock.now()))
 
     def decides(self) -> None:
         """Use this gateway's own sums: it is the owner."""
         now = clock.now()
-        self._known.hear(self._sums.all(now), now)
+        self._known.set_totals(self._sums.failing(now), now)
 
     def hear(self, told: tuple[messages.Outcomes, ...]) -> None:
         """Use the sums of the owner."""
-        self._known.hear(_heard(told), clock.now())
+        self._known.set_totals(_heard(told), clock.now())
 
     def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
-        self._sums.forget(known)
+        self._sums.prune(known)
 
     def _add(self, counts: outliers.Counts) -> None:
         now = clock.now()
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -68,7 +68,7 @@
     def __init__(
         self,
         directory: directories.Directory,
-        budget: extras.GrantedBudget,
+        budget: extras.OwnerBudget,
         accounts: accounts_module.Accounts,
         limiter: ratelimits.Limiter,
         deliver: Deliver,
@@ -105,7 +105,7 @@
         if isinstance(message, messages.Place):
             self._take_place(member, message, now)
         elif isinstance(message, messages.Beat):
-            self._budget.heard(member, now)
+            self._budget.record_heartbeat(member, now)
             self._take_held(message, now)
         elif isinstance(message, messages.Withdraw):
             self._withdraw(message.stream, now)
@@ -177,7 +177,7 @@
             reply(_without_quota(member, place, denied))
             return
         if place.attempt == 1:
-            self._budget.request(place.service, now)
+            self._budget.record_request(place.service, now)
         if not self._budget.grant(place.service, place.extra, now):
             reply(_without_budget(member, place))
             return
--- a/galenahatch/gateway/ownership.py
+++ b/galenahatch/gateway/ownership.py
@@ -109,7 +109,7 @@
         self,
         directory: directories.Directory,
         data_centre: ids.DataCentre,
-        budget: extras.GrantedBudget,
+        budget: extras.OwnerBudget,
         accounts: accounts_module.Accounts,
         limiter: ratelimits.Limiter,
         paused: collections.abc.Callable[[], dict[ids.UpstreamId, float]],
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -87,7 +87,7 @@
 
     async def run(self) -> means_module.Whole | errors.Failure:
         """Return the answer for the caller."""
-        self._means.budget.request(self._service, self._call.arrived_at)
+        self._means.budget.record_request(self._service, self._call.arrived_at)
         tries = 0
         while self._may_try(tries):
             upstream = await self._choose()
@@ -190,7 +190,7 @@
     def _abandon(self, upstream: ids.UpstreamId, seconds: float) -> None:
         """Note a send whose caller left."""
         self._sends.end(fate.Fate.UNCERTAIN)
-        self._means.balancer.left(upstream)
+        self._means.balancer.cancel(upstream)
         _log.info(
             'Caller left.',
             request=self._call.id,
@@ -245,7 +245,7 @@
     ) -> None:
         now = clock.now()
         if head is not None and head.load is not None:
-            self._means.balancer.told_load(attempt.upstream, head.load, now)
+            self._means.balancer.record_load(attempt.upstream, head.load, now)
         good = lost is None and head is not None and head.status < 500
         registry = self._means.directory.registry
         avoided = self._means.balancer.end(
@@ -282,7 +282,7 @@
         return None
 
     def _failure(self) -> errors.Failure:
-        if self._sends.surely_not_run:
+        if self._sends.cannot_have_run:
             return self._refusal()
         if means_module.over(self._end_by):
             return errors.Failure(errors.DEADLINE, self._detail)
--- a/galenahatch/gateway/relay.py
+++ b/galenahatch/gateway/relay.py
@@ -82,11 +82,11 @@
     @property
     def is_within_event(self) -> bool:
         """Whether a part of an event has come, and not its end."""
-        return bool(self._splitter.rest)
+        return bool(self._splitter.partial)
 
     def restart(self) -> None:
         """Begin with the answer of another run."""
-        self._splitter.restart()
+        self._splitter.drop_partial()
         self.run_count = 0
 
     def feed(self, data: bytes) -> bytes:
--- a/galenahatch/test/test_balance.py
+++ b/galenahatch/test/test_balance.py
@@ -132,7 +132,7 @@
     balancer = balance.Balancer(random.Random(6), ids.DataCentre('a'))
     members = [_upstream('a' * n) for n in (1, 2)]
     told = {members[0].id: outliers.Count(10.0, 4.0)}
-    balancer.outliers.hear(told, 0.0)
+    balancer.outliers.set_totals(told, 0.0)
     assert balancer.choose(members, (), 0.1) is members[1]
     used = {balancer.choose(members, (), 9.0) for _ in range(50)}
     assert len(used) == 2, 'what was told long ago does not count'
@@ -143,7 +143,7 @@
     balancer = balance.Balancer(random.Random(7), ids.DataCentre('a'))
     upstream = _upstream('a')
     balancer.begin(upstream.id)
-    balancer.left(upstream.id)
+    balancer.cancel(upstream.id)
     assert balancer.outliers.share(upstream.id, 0.0).likely == 0.0
 
 
@@ -151,13 +151,13 @@
     """What a beat told is not told again; sums fade with time."""
     known = outliers.Outliers()
     one = ids.UpstreamId('a')
-    known.note(one, True, 0.0)
-    known.note(one, False, 0.0)
-    new = known.take_new()
+    known.record(one, True, 0.0)
+    known.record(one, False, 0.0)
+    new = known.take_unreported()
     assert new == {one: outliers.Count(2.0, 1.0)}
-    assert known.take_new() == {}
+    assert known.take_unreported() == {}
     sums = outliers.Tally()
     sums.add(one, new[one], 0.0)
-    assert sums.seen(one, 3.0).failures < 0.4
-    sums.forget(())
-    assert sums.all(0.0) == {}
+    assert sums.get(one, 3.0).failures < 0.4
+    sums.prune(())
+    assert sums.failing(0.0) == {}
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -205,11 +205,11 @@
         if not sends.may_send(repeatable, most):
             break
         sends.begin()
-        assert not sends.surely_not_run
+        assert not sends.cannot_have_run
         assert not sends.may_send(repeatable, most)
         sends.end(happened)
         may_have_run += happened in (fate.Fate.UNCERTAIN, fate.Fate.ANSWERED)
-        assert sends.surely_not_run == (may_have_run == 0)
+        assert sends.cannot_have_run == (may_have_run == 0)
     assert may_have_run <= (most if repeatable else 1)
 
 
@@ -234,7 +234,7 @@
     out += splitter.feed(data)
     assert out == whole
     assert (splitter.last_id, splitter.count) == ('5', 5)
-    assert splitter.rest == b'id: 6\nda'
+    assert splitter.partial == b'id: 6\nda'
 
 
 # Memory.
--- a/galenahatch/test/test_extras.py
+++ b/galenahatch/test/test_extras.py
@@ -42,8 +42,8 @@
     """In each window, extras stay under the bound, also after restarts."""
     ratio, reserve, window = 0.2, 52.0, 10.0
 
-    def fresh() -> extras.SharedBudget:
-        made = extras.SharedBudget(ratio, reserve, window)
+    def fresh() -> extras.LocalBudget:
+        made = extras.LocalBudget(ratio, reserve, window)
         made.set_members(6)
         return made
 
@@ -54,7 +54,7 @@
     for vm, is_request, pause in steps:
         now += pause
         if is_request:
-            budgets[vm].request(_SERVICE, now)
+            budgets[vm].record_request(_SERVICE, now)
             requests.append(now)
         else:
             while budgets[vm].spend(_SERVICE, now):
@@ -89,8 +89,8 @@
     ratio, reserve, window = 0.2, 52.0, 10.0
     members = [ids.MemberId(f'm{n}') for n in range(6)]
 
-    def fresh() -> extras.GrantedBudget:
-        made = extras.GrantedBudget(ratio, reserve, window)
+    def fresh() -> extras.OwnerBudget:
+        made = extras.OwnerBudget(ratio, reserve, window)
         made.set_members(6)
         return made
 
@@ -107,10 +107,10 @@
             lost.append(now)
         for other in range(1, 6):
             if other not in alone:
-                owner.heard(members[other], now)
+                owner.record_heartbeat(members[other], now)
         asked = alone.get(vm, owner)
         if what == 'request':
-            asked.request(_SERVICE, now)
+            asked.record_request(_SERVICE, now)
             requests.append(now)
         while what == 'retry' and asked.grant(_SERVICE, sends, now):
             spent += [now] * sends
@@ -125,14 +125,14 @@
 
     Divided, each VM has less than the two sends that one of them needs.
     """
-    pooled = extras.GrantedBudget(0.2, 430.0, 10.0)
-    divided = extras.SharedBudget(0.2, 430.0, 10.0)
+    pooled = extras.OwnerBudget(0.2, 430.0, 10.0)
+    divided = extras.LocalBudget(0.2, 430.0, 10.0)
     pooled.set_members(195)
     divided.set_members(195)
     for vm in range(194):
-        pooled.heard(ids.MemberId(f'm{vm}'), 0.0)
+        pooled.record_heartbeat(ids.MemberId(f'm{vm}'), 0.0)
     for _ in range(2):
-        divided.request(_SERVICE, 0.0)
+        divided.record_request(_SERVICE, 0.0)
     spent = sum(divided.spend(_SERVICE, 0.0) for _ in range(2))
     assert spent < 2, 'what a stream that goes on needs'
     assert all(pooled.grant(_SERVICE, 2, 0.0) for _ in range(10))
@@ -141,9 +141,9 @@
 
 def test_first_sends_need_no_budget() -> None:
     """What was granted in a burst does not refuse first attempts after it."""
-    budget = extras.GrantedBudget(0.2, 3.0, 10.0)
+    budget = extras.OwnerBudget(0.2, 3.0, 10.0)
     for _ in range(50):
-        budget.request(_SERVICE, 0.0)
+        budget.record_request(_SERVICE, 0.0)
     while budget.grant(_SERVICE, 1, 5.0):
         pass
     assert not budget.grant(_SERVICE, 1, 11.0), 'the requests count no more'
