--- a/bench/dispatching.py
+++ b/bench/dispatching.py
@@ -367,7 +367,7 @@
     @property
     def measured(self) -> figures.Figures:
         """What the owner has measured."""
-        return self._owner.measured
+        return self._owner.measured_figures
 
     def _tell_engines(self, now: float) -> None:
         stages = [
@@ -404,7 +404,7 @@
                     now,
                 )
                 held.append((ids.UpstreamId(name), run))
-        self._owner.rebuild(_GATEWAY, held, now)
+        self._owner.reconcile_runs(_GATEWAY, held, now)
 
     def _plan(self, now: float) -> None:
         """Carry out the changes of stage that the owner wants."""
@@ -412,7 +412,7 @@
             self._report(name, upstreams.Stage.PREFILL, now)
         for name in self._decodes:
             self._report(name, upstreams.Stage.DECODE, now)
-        for upstream, stage in self._owner.changes(now):
+        for upstream, stage in self._owner.plan_stage_changes(now):
             back_at = now + self._kind.switch
             self._owner.engines.changing(upstream.id, stage, back_at + 8)
             self.changes.append(now)
@@ -540,7 +540,9 @@
         """Return what tells the owner that a prompt was read."""
 
         def read(now: float) -> None:
-            self._owner.prefilled(caller.stream, caller.prompt, seconds, now)
+            self._owner.record_prefill(
+                caller.stream, caller.prompt, seconds, now
+            )
 
         return read
 
@@ -578,7 +580,7 @@
                 self._pay(caller)
             for caller in before:
                 if caller.events:
-                    self._owner.started(caller.stream, now)
+                    self._owner.record_first_event(caller.stream, now)
 
     def _pay(self, caller: _Caller) -> None:
         caller.is_over = True
--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -51,7 +51,7 @@
         queue: waiting.Waiting,
         forecast: forecasts.Forecast,
         returns: returns_module.Returns,
-        division: divisions.Division,
+        division: divisions.Rebalancer,
         limiter: ratelimits.Limiter,
     ) -> None:
         self._pool = pool
@@ -120,7 +120,7 @@
 
     def refuse(self, job: Job, why: str, now: float) -> generations.Refused:
         """Give a request up, and promise when there is room for it."""
-        self._division.is_short(now)
+        self._division.record_refusal(now)
         rate = self._forecast.rate()
         queued = len(self._queue) / rate if rate else 0.0
         # Who was told to come later than its caller can wait does not come.
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -47,7 +47,7 @@
 from galenahatch.core import waiting
 from galenahatch import ids
 
-LOOKAHEAD: typing.Final = 0.02
+PREFILL_LOOKAHEAD_S: typing.Final = 0.02
 """Seconds of work that a prefill engine may have ahead; the rest waits in
 the queue, where it can still be reordered."""
 _RECHECK: typing.Final = 0.02
@@ -84,7 +84,7 @@
         self._forecast = forecast.Forecast(
             self._pool, self._measures, self._queue
         )
-        self._division = divisions.Division(
+        self._division = divisions.Rebalancer(
             self._pool, self._measures, self._forecast
         )
         self._admission = admission.Admission(
@@ -98,12 +98,12 @@
         self._placements: dict[ids.StreamId, placements.Placement] = {}
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Requests in the queue."""
         return len(self._queue)
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Runs placed and not ended."""
         return len(self._placements)
 
@@ -113,12 +113,12 @@
         return self._pool
 
     @property
-    def division(self) -> divisions.Division:
+    def rebalancer(self) -> divisions.Rebalancer:
         """How many engines should be at each stage."""
         return self._division
 
     @property
-    def measured(self) -> figures.Figures:
+    def measured_figures(self) -> figures.Figures:
         """What was measured so far."""
         self._measures.note_pace(
             self._pool.mean_pace(self._measures.figures.pace)
@@ -141,10 +141,10 @@
             now: monotonic seconds.
         """
         present = list(engines)
-        self._division.present((e.id for e in present), leaving, now)
+        self._division.set_engines((e.id for e in present), leaving, now)
         self._pool.set_engines(present, self._measures.figures.pace, now)
 
-    def adopt(self, told: figures.Figures) -> None:
+    def adopt_figures(self, told: figures.Figures) -> None:
         """Take what another owner has measured, if it has seen more."""
         if not self._measures.adopt(told):
             return
@@ -152,11 +152,11 @@
             if not engine.memory.runs:
                 engine.memory.pace = told.pace
 
-    def changes(
+    def plan_stage_changes(
         self, now: float
     ) -> list[tuple[upstreams.Upstream, upstreams.Stage]]:
         """Return the engines whose stage should change."""
-        return self._division.changes(bool(self._queue), now)
+        return self._division.plan_stage_changes(bool(self._queue), now)
 
     # The life of a request.
 
@@ -219,14 +219,14 @@
         if lack is generations.Lack.MEMORY:
             return forecast.LOOKED_AT
         if lack is generations.Lack.PREFILL and waiting.has_waited(job, now):
-            self._division.reading_lags(now)
+            self._division.record_prefill_wait(now)
         return 1
 
-    def next_look(self, now: float) -> float | None:
+    def next_decision_at(self, now: float) -> float | None:
         """Return when `decide` should be called again; None if idle."""
         return now + _RECHECK if len(self._queue) else None
 
-    def prefilled(
+    def record_prefill(
         self, stream: ids.StreamId, tokens: int, seconds: float, now: float
     ) -> None:
         """Note that a prompt was read, and how long it took."""
@@ -249,7 +249,7 @@
         if alone is not None:
             self._measures.note_overlap(alone)
 
-    def started(self, stream: ids.StreamId, now: float) -> None:
+    def record_first_event(self, stream: ids.StreamId, now: float) -> None:
         """Note the first event of a stream."""
         self._told(stream, now)
         placement = self._placements.get(stream)
@@ -285,7 +285,7 @@
         self._forget(stream, now)
         self._queue.remove(stream)
 
-    def rebuild(
+    def reconcile_runs(
         self,
         entry: ids.MemberId,
         held: typing.Iterable[tuple[ids.UpstreamId, memory.Run]],
@@ -313,7 +313,7 @@
             if now - placement.told_at > _ON_ITS_WAY:
                 self._forget(stream, now)
 
-    def lapse(self, now: float) -> None:
+    def expire_runs(self, now: float) -> None:
         """Forget runs whose VM has been silent for long."""
         for stream in placements.lapsed(self._placements, now):
             self._forget(stream, now)
@@ -333,7 +333,7 @@
             explore = not self._measures.knows_overlap
             reads = self._measures.reading(job.prompt)
             prefill = self._pool.choose_prefill(job, reads, explore, now)
-        if prefill is not None and prefill.idle_at > now + LOOKAHEAD:
+        if prefill is not None and prefill.idle_at > now + PREFILL_LOOKAHEAD_S:
             if not self._forecast.decode_may_read(job, now):
                 return generations.Lack.PREFILL
             prefill = None
--- a/galenahatch/core/division.py
+++ b/galenahatch/core/division.py
@@ -39,7 +39,7 @@
 away for some seconds, which costs most when there are too few."""
 
 
-class Division:
+class Rebalancer:
     """The division of one service's engines.
 
     Args:
@@ -61,28 +61,28 @@
         self._short_at = -1e9
         self._lagged_at = -1e9
 
-    def present(
+    def set_engines(
         self,
         engines: typing.Iterable[str],
         leaving: typing.Container[str],
         now: float,
     ) -> None:
         """Take which engines there are, and which have said they leave."""
-        self._planner.present(engines, leaving, now)
+        self._planner.set_engines(engines, leaving, now)
 
-    def is_short(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """Note that a request was refused."""
         self._short_at = now
 
-    def reading_lags(self, now: float) -> None:
+    def record_prefill_wait(self, now: float) -> None:
         """Note that a request has waited for prefill engines."""
         self._lagged_at = now
 
-    def plan_again(self) -> None:
+    def reset_plan(self) -> None:
         """Note that an engine did not change though it should."""
-        self._planner.plan_again()
+        self._planner.reset()
 
-    def changes(
+    def plan_stage_changes(
         self, is_waiting: bool, now: float
     ) -> list[tuple[upstreams.Upstream, upstreams.Stage]]:
         """Return the engines whose stage should change.
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -78,7 +78,7 @@
             return ending
         return min(ending, self._lines(ending) / each)
 
-    def works(self) -> list[stages.Work]:
+    def works(self) -> list[stages.RequestCost]:
         """Return what a request of mean size costs at both stages.
 
         It may be either of what is returned, as far as it is known.
@@ -89,7 +89,7 @@
         life += self._measures.reading(round(known.prompt))
         helped = reading.mean_seconds(self._measures)
         return [
-            stages.Work(read, life / runs, helped)
+            stages.RequestCost(read, life / runs, helped)
             for read in self._measures.occupied_between()
         ]
 
--- a/galenahatch/core/stages.py
+++ b/galenahatch/core/stages.py
@@ -27,9 +27,9 @@
 
 from galenahatch.core import upstreams
 
-LEAST_GAIN: typing.Final = 1.15
+MIN_GAIN: typing.Final = 1.15
 """Times the present rate that a division must reach to be worth a change."""
-BUSY_GAIN: typing.Final = 1.4
+MIN_GAIN_BUSY: typing.Final = 1.4
 """The same while requests wait and the engines that change are missed
 meanwhile. A surplus of prefill engines is not missed: decode engines limit,
 and go on. It is given up at once, for the first of the bursts that follow
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Work:
+class RequestCost:
     """What one request costs.
 
     Attributes:
@@ -60,39 +60,45 @@
         help: seconds of a decode engine that reads the prompt itself.
     """
 
-    read: float
-    hold: float
-    help: float = math.inf
+    prefill_seconds: float
+    decode_seconds: float
+    decode_prefill_seconds: float = math.inf
 
 
-def rate(work: Work, prefills: int, decodes: int) -> float:
+def throughput(work: RequestCost, prefills: int, decodes: int) -> float:
     """Return requests a second that a division of engines can end.
 
     Where prefill engines limit, decode engines read what those leave, up to
     a part of all prompts: some are too long for the pause that their runs
     may make. Their time then goes into holding and reading.
     """
-    reading = _PREFILL_USE * prefills / work.read
-    making = decodes / work.hold
+    reading = _PREFILL_USE * prefills / work.prefill_seconds
+    making = decodes / work.decode_seconds
     if making <= reading:
         return making
-    if math.isinf(work.help):
+    if math.isinf(work.decode_prefill_seconds):
         return reading
     if not prefills:
         # Prompts that are too long make every run of their engine pause for
         # too long: what is served then is late.
-        return _HELPED * decodes / (work.hold + work.help)
-    helped = (decodes + reading * work.help) / (work.hold + work.help)
+        return (
+            _HELPED
+            * decodes
+            / (work.decode_seconds + work.decode_prefill_seconds)
+        )
+    helped = (decodes + reading * work.decode_prefill_seconds) / (
+        work.decode_seconds + work.decode_prefill_seconds
+    )
     return max(reading, min(helped, reading / (1 - _HELPED)))
 
 
-def best(work: Work, engines: int) -> int:
+def best_prefill_count(work: RequestCost, engines: int) -> int:
     """Return how many of some engines should read prompts."""
     if engines < 2:
         return engines
     return max(
         range(1, engines),
-        key=lambda prefills: rate(work, prefills, engines - prefills),
+        key=lambda prefills: throughput(work, prefills, engines - prefills),
     )
 
 
@@ -104,7 +110,7 @@
         self._vanished_at = -1e9
         self._planned_at = -1e9
 
-    def present(
+    def set_engines(
         self,
         engines: typing.Iterable[str],
         leaving: typing.Container[str],
@@ -117,13 +123,13 @@
             self._vanished_at = now
         self._engines = current
 
-    def plan_again(self) -> None:
+    def reset(self) -> None:
         """Forget the last plan: nothing came of it."""
         self._planned_at = -1e9
 
     def plan(
         self,
-        works: typing.Sequence[Work],
+        works: typing.Sequence[RequestCost],
         prefills: typing.Sequence[upstreams.Upstream],
         decodes: typing.Sequence[upstreams.Upstream],
         calm: bool,
@@ -148,7 +154,7 @@
         if total < 2 or now - unsettled_at < _SETTLED:
             return []
         surplus = _agreed(
-            [len(prefills) - best(work, total) for work in works]
+            [len(prefills) - best_prefill_count(work, total) for work in works]
         )
         if not surplus or (surplus < 0 and prefills and not lags):
             return []
@@ -171,16 +177,16 @@
 
 
 def _pays(
-    work: Work, engines: tuple[int, int], surplus: int, calm: bool
+    work: RequestCost, engines: tuple[int, int], surplus: int, calm: bool
 ) -> bool:
     """Return whether a change gains more than it costs meanwhile."""
     prefills, decodes = engines
-    before = rate(work, prefills, decodes)
-    after = rate(work, prefills - surplus, decodes + surplus)
+    before = throughput(work, prefills, decodes)
+    after = throughput(work, prefills - surplus, decodes + surplus)
     if surplus > 0:
-        meanwhile = rate(work, prefills - surplus, decodes)
+        meanwhile = throughput(work, prefills - surplus, decodes)
     else:
-        meanwhile = rate(work, prefills, decodes + surplus)
+        meanwhile = throughput(work, prefills, decodes + surplus)
     if surplus > 0 and meanwhile > _SAME * before:
         return after >= _FREE_GAIN * before
-    return after >= (LEAST_GAIN if calm else BUSY_GAIN) * before
+    return after >= (MIN_GAIN if calm else MIN_GAIN_BUSY) * before
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -102,14 +102,14 @@
                 continue
             await self._prepare()
             for service, found in list(self._owner.dispatchers.items()):
-                for engine, stage in found.changes(now):
+                for engine, stage in found.plan_stage_changes(now):
                     _log.info(
                         'Change wanted.',
                         engine=engine.id,
                         stage=stage.value,
                         prefills=len(found.engines.prefills),
                         decodes=len(found.engines.decodes),
-                        **found.measured._asdict(),
+                        **found.measured_figures._asdict(),
                     )
                     await self._change(service, found, engine, stage)
 
@@ -175,7 +175,7 @@
     ) -> None:
         """Use an engine as it is, and plan again after a while."""
         dispatcher.engines.changing(engine, stage, clock.now())
-        dispatcher.division.plan_again()
+        dispatcher.rebalancer.reset_plan()
         self._pause_until = clock.now() + _AFTER_REFUSAL
 
     async def _give(
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -97,7 +97,7 @@
     @property
     def waiting(self) -> int:
         """Requests that wait for engines."""
-        return sum(d.waiting for d in self._dispatchers.values())
+        return sum(d.waiting_count for d in self._dispatchers.values())
 
     def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
         """Take a message of a gateway, this one included."""
@@ -129,7 +129,7 @@
     def figures(self) -> tuple[records.Figures, ...]:
         """Return what was measured of each service."""
         return tuple(
-            records.Figures(service, *dispatcher.measured)
+            records.Figures(service, *dispatcher.measured_figures)
             for service, dispatcher in self._dispatchers.items()
         )
 
@@ -138,7 +138,7 @@
         for told in back.figures:
             dispatcher = self._dispatcher(told.service)
             if dispatcher is not None:
-                dispatcher.adopt(
+                dispatcher.adopt_figures(
                     figures.Figures(
                         told.rate,
                         told.prompt,
@@ -187,7 +187,7 @@
         if decision is not None:
             self._announce(decision)
             return
-        if dispatcher.waiting == 1:
+        if dispatcher.waiting_count == 1:
             for decision in dispatcher.decide(now):
                 self._announce(decision)
         if place.stream in self._replies:
@@ -213,7 +213,7 @@
                 runs = by_service.setdefault(held.service, [])
                 runs.append((held.decode, run))
         for service, runs in by_service.items():
-            self._dispatchers[service].rebuild(beat.member, runs, now)
+            self._dispatchers[service].reconcile_runs(beat.member, runs, now)
 
     def _take_progress(
         self,
@@ -224,11 +224,11 @@
         if dispatcher is None:
             return
         if isinstance(message, messages.Prefilled):
-            dispatcher.prefilled(
+            dispatcher.record_prefill(
                 message.stream, message.tokens, message.seconds, now
             )
         elif isinstance(message, messages.Started):
-            dispatcher.started(message.stream, now)
+            dispatcher.record_first_event(message.stream, now)
         else:
             dispatcher.release(
                 message.stream, message.tokens, message.seconds, now
@@ -282,7 +282,7 @@
             for dispatcher in self._dispatchers.values():
                 for decision in dispatcher.decide(now):
                     self._announce(decision)
-                look = dispatcher.next_look(now)
+                look = dispatcher.next_decision_at(now)
                 if look is not None:
                     looks.append(look - now)
             await asyncio.sleep(_BREATH)
@@ -295,7 +295,7 @@
     def _replan_lapsed(self) -> None:
         now = clock.now()
         for service, dispatcher in self._dispatchers.items():
-            dispatcher.lapse(now)
+            dispatcher.expire_runs(now)
             self._set_engines(service, dispatcher)
 
     def _announce(self, decision: generations.Decision) -> None:
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -479,7 +479,7 @@
     owner.submit(_job(1, 0.0), 0.0)
     owner.withdraw(ids.StreamId('s1'))
     assert not owner.decide(0.0)
-    assert (owner.waiting, owner.running) == (0, 0)
+    assert (owner.waiting_count, owner.running_count) == (0, 0)
 
 
 def test_failed_engines_are_left_alone() -> None:
@@ -514,7 +514,7 @@
     tried = owner.decide(0.6) + owner.decide(0.8)
     engines = [p.decode for p in tried if isinstance(p, generations.Placed)]
     assert sorted(engines) == ['d0', 'd1'], 'one run each'
-    owner.started(tried[0].job.stream, 0.9)
+    owner.record_first_event(tried[0].job.stream, 0.9)
     assert len(owner.decide(0.9)) == 1, 'one has shown that it works'
 
 
@@ -551,11 +551,11 @@
         (ids.UpstreamId('d0'), _run('old1', 5000, 3000)),
         (ids.UpstreamId('d0'), _run('old2', 5000, 3000)),
     ]
-    owner.rebuild(_MEMBER, held, 0.0)
-    assert owner.running == 2
+    owner.reconcile_runs(_MEMBER, held, 0.0)
+    assert owner.running_count == 2
     assert isinstance(owner.submit(_job(1, 0.1), 0.1), generations.Refused)
-    owner.rebuild(_MEMBER, [], 2.0)
-    assert owner.running == 0
+    owner.reconcile_runs(_MEMBER, [], 2.0)
+    assert owner.running_count == 0
 
 
 def test_changing_engine_takes_no_work() -> None:
@@ -645,7 +645,7 @@
     nothing then, and is made though requests wait. A decode engine is kept
     unless requests wait for prompts to be read.
     """
-    work = stages.Work(read=0.11, hold=0.29)
+    work = stages.RequestCost(prefill_seconds=0.11, decode_seconds=0.29)
     engines = [_engine(f'e{n}', None) for n in range(6)]
     planner = stages.Planner()
     ((_, stage),) = planner.plan(
@@ -665,7 +665,9 @@
     The last prefill engine was taken away, and 115 of 250 streams paused for
     longer than they may through the rest of the day.
     """
-    work = stages.Work(read=0.1, hold=0.33, help=0.2)
+    work = stages.RequestCost(
+        prefill_seconds=0.1, decode_seconds=0.33, decode_prefill_seconds=0.2
+    )
     engines = [_engine(f'e{n}', None) for n in range(3)]
     ((_, stage),) = stages.Planner().plan(
         [work], [], engines, False, False, 10.0
@@ -676,8 +678,8 @@
 def test_change_must_pay_whatever_is_not_known() -> None:
     """As long as overlap is not known, a change has to pay either way."""
     engines = [_engine(f'e{n}', None) for n in range(6)]
-    overlaps = stages.Work(read=0.11, hold=0.29)
-    serial = stages.Work(read=0.22, hold=0.29)
+    overlaps = stages.RequestCost(prefill_seconds=0.11, decode_seconds=0.29)
+    serial = stages.RequestCost(prefill_seconds=0.22, decode_seconds=0.29)
     planner = stages.Planner()
     works = [overlaps, serial]
     assert not planner.plan(works, engines[:3], engines[3:], True, True, 10.0)
@@ -686,23 +688,23 @@
 
 def test_best_division() -> None:
     """Engines are divided by what a request costs at both stages."""
-    work = stages.Work(read=0.094, hold=0.36)
-    assert stages.best(work, 4) == 1
-    assert stages.best(work, 9) == 2
-    assert stages.best(stages.Work(1.0, 0.1), 4) == 3
+    work = stages.RequestCost(prefill_seconds=0.094, decode_seconds=0.36)
+    assert stages.best_prefill_count(work, 4) == 1
+    assert stages.best_prefill_count(work, 9) == 2
+    assert stages.best_prefill_count(stages.RequestCost(1.0, 0.1), 4) == 3
 
 
 def test_engines_that_crash_delay_a_plan() -> None:
     """An engine lost without a word is waited for, one that left is not."""
-    work = stages.Work(read=0.094, hold=0.36)
+    work = stages.RequestCost(prefill_seconds=0.094, decode_seconds=0.36)
     prefills = [_engine(f'p{n}', None) for n in range(2)]
     decodes = [_engine(f'd{n}', None) for n in range(3)]
     planner = stages.Planner()
     every = [e.id for e in (*prefills, *decodes)]
-    planner.present(every, (), 0.0)
-    planner.present(every[:-1], (), 1.0)
+    planner.set_engines(every, (), 0.0)
+    planner.set_engines(every[:-1], (), 1.0)
     assert not planner.plan([work], prefills, decodes[:2], True, True, 2.0)
-    planner.present(every[:-2], {every[-2]}, 6.5)
+    planner.set_engines(every[:-2], {every[-2]}, 6.5)
     ((engine, stage),) = planner.plan(
         [work], prefills, decodes[:1], True, True, 6.5
     )
--- a/galenahatch/test/test_load.py
+++ b/galenahatch/test/test_load.py
@@ -284,8 +284,8 @@
     for number in range(8):
         seconds = 0.19 + 0.1 * number
         stream = ids.StreamId(str(number))
-        owner.prefilled(stream, 5000, seconds, 0.14 * number + seconds)
-    assert owner.measured.rate > 20_000
+        owner.record_prefill(stream, 5000, seconds, 0.14 * number + seconds)
+    assert owner.measured_figures.rate > 20_000
 
 
 def test_delay_costs_no_engine_its_time() -> None:
