--- a/bench/dispatching.py
+++ b/bench/dispatching.py
@@ -487,15 +487,15 @@
         job = generations.Job(
             stream=caller.stream,
             entry=_GATEWAY,
-            prompt=caller.prompt,
-            hint=caller.hint,
-            most=caller.most,
+            prompt_tokens=caller.prompt,
+            output_hint=caller.hint,
+            max_output=caller.most,
             arrived_at=now,
-            start_by=now + _OBJECTIVE,
-            leaves_at=now + _PATIENCE,
+            start_deadline=now + _OBJECTIVE,
+            abandon_at=now + _PATIENCE,
             deadline=caller.began + _DEADLINE,
-            longest_pause=_LONGEST_PAUSE,
-            subject=str(caller.number),
+            max_pause=_LONGEST_PAUSE,
+            fingerprint=str(caller.number),
             data_centre=_HERE,
         )
         self._waiting[caller.stream] = caller
--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -71,11 +71,13 @@
             before: requests that are served before it, beside the queue.
             now: monotonic seconds.
         """
-        if self._limiter.is_idle and not job.paused:
+        if self._limiter.is_idle and not job.paused_until:
             return 0.0
         engines = self._pool.usable_decodes(job, now)
         if not engines:
-            ends = (job.paused.get(key, now) for key in self._pool.decodes)
+            ends = (
+                job.paused_until.get(key, now) for key in self._pool.decodes
+            )
             return max(0.0, min(ends, default=now) - now)
         found = [engine.upstream.id for engine in engines]
         requests = len(self._queue) + before + 1
@@ -84,7 +86,7 @@
     def is_limited(self, job: Job, now: float) -> bool:
         """Return whether the wishes of engines let no run start in time."""
         wait = self._until_room(job, self._returns.due(now), now)
-        return wait > 0 and now + wait > job.start_by
+        return wait > 0 and now + wait > job.start_deadline
 
     def keep_or_refuse(
         self, job: Job, now: float
@@ -92,7 +94,7 @@
         """Decide on a request that could not be placed so far."""
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
-        if job.kept:
+        if job.is_committed:
             return None
         wait = _CAUTION * self._forecast.wait(job, 1, now)
         if now + wait > waiting.limit(job):
@@ -112,7 +114,7 @@
             return self.refuse(job, 'engines_hold_back', now)
         owed = 1 + self._returns.due(now)
         late = self._forecast.late_wait(job, owed, now)
-        is_in_vain = now + late > job.leaves_at
+        is_in_vain = now + late > job.abandon_at
         if is_in_vain and not self._queue.is_probe(job, now):
             return self.refuse(job, self._forecast.why(job, wait), now)
         self._queue.keep(job, is_late=True)
@@ -133,7 +135,7 @@
         )
         queued = max(queued, self._pool.next_trial(now), until_room)
         wait = self._returns.promise(
-            job.subject,
+            job.fingerprint,
             self._forecast.spare(now),
             queued,
             job.deadline - now,
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -162,21 +162,26 @@
 
     def submit(self, job: Job, now: float) -> generations.Decision | None:
         """Take a request; return a decision if it is refused at once."""
-        first_at = self._returns.came(job.subject)
+        first_at = self._returns.came(job.fingerprint)
         returned = first_at is not None
-        output = self._measures.lengths.predict(job.hint, job.most)
-        job = dataclasses.replace(job, output=output, returned=returned)
+        output = self._measures.lengths.predict(
+            job.output_hint, job.max_output
+        )
+        job = dataclasses.replace(
+            job, predicted_output=output, is_retry=returned
+        )
         if first_at is not None:
             job = dataclasses.replace(
-                job, start_by=job.start_by - job.arrived_at + first_at
+                job,
+                start_deadline=job.start_deadline - job.arrived_at + first_at,
             )
-        self._measures.note_size(job.prompt, job.output)
+        self._measures.note_size(job.prompt_tokens, job.predicted_output)
         if not returned:
             self._measures.note_arrival(now)
         self._forget(job.stream, now)
         if not self._pool.decodes:
             return self._admission.refuse(job, 'no_engine', now)
-        if not job.going_on:
+        if not job.is_continuation:
             if self._admission.is_limited(job, now):
                 return self._admission.refuse(job, 'engines_hold_back', now)
             owed = 1 + self._returns.due(now)
@@ -281,7 +286,7 @@
             decode = self._pool.decodes.get(placement.engine)
             if decode is not None:
                 decode.health.worked()
-                decode.memory.ended(stream, tokens, seconds, now)
+                decode.memory.record_end(stream, tokens, seconds, now)
         self._forget(stream, now)
         self._queue.remove(stream)
 
@@ -303,7 +308,9 @@
                     engine, 0, now
                 )
             elif decode is not None:
-                decode.memory.progress(run.stream, run.made, run.made_at)
+                decode.memory.record_progress(
+                    run.stream, run.generated, run.generated_at
+                )
             self._told(run.stream, now)
         for stream, placement in list(self._placements.items()):
             known = self._run(stream)
@@ -329,20 +336,20 @@
         if apart is None:
             return generations.Lack.TRIAL
         job, prefill = apart, None
-        if not job.is_read:
+        if not job.is_prefilled:
             explore = not self._measures.knows_overlap
-            reads = self._measures.reading(job.prompt)
+            reads = self._measures.reading(job.prompt_tokens)
             prefill = self._pool.choose_prefill(job, reads, explore, now)
         if prefill is not None and prefill.idle_at > now + PREFILL_LOOKAHEAD_S:
             if not self._forecast.decode_may_read(job, now):
                 return generations.Lack.PREFILL
             prefill = None
         ready = now + self._measures.until_first(job)
-        if prefill is None and not job.is_read:
+        if prefill is None and not job.is_prefilled:
             ready += reading.seconds(job, self._measures)
         decode = self._pool.choose_decode(job, prefill, ready, now)
         if decode is None:
-            if prefill is None and not job.is_read:
+            if prefill is None and not job.is_prefilled:
                 return generations.Lack.PREFILL
             return generations.Lack.MEMORY
         chosen = [e.upstream.id for e in (prefill, decode) if e is not None]
@@ -360,13 +367,13 @@
     ) -> generations.Placed:
         """Note where a request goes."""
         chosen = prefill.upstream.id if prefill is not None else None
-        self._returns.served(job.subject)
+        self._returns.served(job.fingerprint)
         self._measures.note_placed(now)
-        decode.memory.add(job.run(ready))
+        decode.memory.add(job.make_run(ready))
         decode.health.given(now)
         placement = placements.Placement(
             decode.upstream.id,
-            0 if job.going_on else job.hint,
+            0 if job.is_continuation else job.output_hint,
             now,
             chosen,
             now,
@@ -377,11 +384,11 @@
             placement.is_alone = not prefill.unread
             prefill.give(
                 job.stream,
-                self._measures.reading(job.prompt),
-                self._measures.occupied(job.prompt),
+                self._measures.reading(job.prompt_tokens),
+                self._measures.occupied(job.prompt_tokens),
                 now,
             )
-        elif not job.is_read:
+        elif not job.is_prefilled:
             decode.reads_until = now + reading.occupied(job, self._measures)
         why = (
             f'load={decode.memory.load(now):.2f} '
--- a/galenahatch/core/figures.py
+++ b/galenahatch/core/figures.py
@@ -76,7 +76,7 @@
     rate: float = FIRST_RATE
     prompt: float = 0.0
     output: float = 0.0
-    pace: float = memory.FIRST_PACE
+    pace: float = memory.INITIAL_PACE
     seen: int = 0
     delay: float = 0.0
     alone: float = 0.0
@@ -245,8 +245,15 @@
     def until_first(self, job: generations.Job) -> float:
         """Return the seconds from placing to the first event."""
         slack = self.figures.slack
-        return slack if job.is_read else self.reading(job.prompt) + slack
+        return (
+            slack
+            if job.is_prefilled
+            else self.reading(job.prompt_tokens) + slack
+        )
 
     def shortest_life(self, job: generations.Job) -> float:
         """Return the shortest time that a whole answer may take."""
-        return self.reading(job.prompt) + job.output * self.figures.pace / 2
+        return (
+            self.reading(job.prompt_tokens)
+            + job.predicted_output * self.figures.pace / 2
+        )
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -97,7 +97,7 @@
         """Return what a refusal rests on, beliefs included, for the log."""
         known = self._measures.figures
         return (
-            f'wait={wait:.3f} queue={len(self._queue)} returned={job.returned}'
+            f'wait={wait:.3f} queue={len(self._queue)} returned={job.is_retry}'
             f' served={self.rate():.1f}'
             f' rate={known.rate:.0f} delay={known.delay:.3f}'
             f' alone={known.alone:.2f} slack={known.slack:.3f}'
@@ -117,7 +117,9 @@
         ahead = self._queue.ahead(job, now)
         own = self._measures.until_first(job)
         rate = self._ending_rate()
-        work = sum(self._measures.occupied(other.prompt) for other in ahead)
+        work = sum(
+            self._measures.occupied(other.prompt_tokens) for other in ahead
+        )
         queued = work / self._lines(rate)
         before = max(queued, self._pool.next_trial(now))
         if not rate or self._has_room(job, ahead, now):
@@ -140,10 +142,10 @@
             owed: places that are needed beside those of the ones before it.
             now: monotonic seconds.
         """
-        late = dataclasses.replace(job, kept=True, is_late=True)
+        late = dataclasses.replace(job, is_committed=True, is_late=True)
         ahead = len(self._queue.ahead(late, now))
         # Who comes back is expected, and owes no place to others that are.
-        ahead += 1 if job.returned else owed
+        ahead += 1 if job.is_retry else owed
         rate = self._late_rate(job, now)
         if rate <= 0:
             return math.inf
@@ -155,7 +157,7 @@
         if self._measures.is_overloaded(now):
             return self.spare(now)
         rate = self.rate()
-        if job.returned:
+        if job.is_retry:
             return rate
         left = rate - self._measures.usual_rate(now)
         return max(_BURST_SPARE * rate, left)
@@ -208,7 +210,7 @@
         added = []
         try:
             for one in (*ahead, job):
-                run = one.run(now + self._measures.until_first(one))
+                run = one.make_run(now + self._measures.until_first(one))
                 usable = self._pool.usable_decodes(one, now)
                 fitting = (e for e in usable if e.fits(run, now))
                 engine = next(fitting, None)
@@ -219,4 +221,4 @@
             return True
         finally:
             for engine, run in added:
-                engine.memory.take_back(run.stream)
+                engine.memory.discard(run.stream)
--- a/galenahatch/core/generations.py
+++ b/galenahatch/core/generations.py
@@ -56,43 +56,43 @@
 
     stream: ids.StreamId
     entry: ids.MemberId
-    prompt: int
-    hint: int
-    most: int
+    prompt_tokens: int
+    output_hint: int
+    max_output: int
     arrived_at: float
-    start_by: float
-    leaves_at: float
+    start_deadline: float
+    abandon_at: float
     deadline: float
-    subject: str
+    fingerprint: str
     data_centre: ids.DataCentre
     avoid: frozenset[ids.UpstreamId] = frozenset()
-    going_on: bool = False
-    is_read: bool = False
-    longest_pause: float = 0.0
+    is_continuation: bool = False
+    is_prefilled: bool = False
+    max_pause: float = 0.0
     is_suspect: bool = False
     customer: ids.CustomerName = ids.CustomerName('')
     units: float = 0.0
     priority: int = 0
-    output: int = 0
-    returned: bool = False
-    paused: typing.Mapping[ids.UpstreamId, float] = dataclasses.field(
+    predicted_output: int = 0
+    is_retry: bool = False
+    paused_until: typing.Mapping[ids.UpstreamId, float] = dataclasses.field(
         default_factory=dict
     )
-    kept: bool = False
+    is_committed: bool = False
     is_late: bool = False
 
     def is_paused(self, engine: ids.UpstreamId, now: float) -> bool:
         """Return whether an engine wants nothing from this job's VM."""
-        return self.paused.get(engine, 0.0) > now
+        return self.paused_until.get(engine, 0.0) > now
 
-    def run(self, starts_at: float) -> memory.Run:
+    def make_run(self, starts_at: float) -> memory.Run:
         """Return what it holds at a decode engine from some moment on."""
         return memory.Run(
             stream=self.stream,
             entry=self.entry,
-            prompt=self.prompt,
-            output=self.output,
-            most=self.most,
+            prompt_tokens=self.prompt_tokens,
+            predicted_output=self.predicted_output,
+            max_output=self.max_output,
             starts_at=starts_at,
         )
 
--- a/galenahatch/core/memory.py
+++ b/galenahatch/core/memory.py
@@ -28,7 +28,7 @@
 from galenahatch.core import pace as paces
 from galenahatch import ids
 
-FIRST_PACE: typing.Final = 0.001
+INITIAL_PACE: typing.Final = 0.001
 """Seconds for a token before any run was measured; middle of what engines
 of the users' sizes take with half of their slots in use."""
 
@@ -38,7 +38,7 @@
 _OVERRUN: typing.Final = 1.25
 """Predicted length of a run that has outlived its prediction, by what it
 has made so far; the mean for lengths that spread by a factor of 1.4."""
-DEVIATIONS: typing.Final = 1.5
+MARGIN_DEVIATIONS: typing.Final = 1.5
 """Standard deviations that are kept free for longer answers than predicted:
 one sum in fifteen exceeds that. Preempting a run costs its prompt again and a
 pause, an empty place a fraction of a run's time."""
@@ -62,15 +62,15 @@
 
     stream: ids.StreamId
     entry: ids.MemberId
-    prompt: int
-    output: int
-    most: int
+    prompt_tokens: int
+    predicted_output: int
+    max_output: int
     starts_at: float
-    made: int = 0
-    made_at: float = 0.0
+    generated: int = 0
+    generated_at: float = 0.0
 
 
-def margin(runs: typing.Iterable[Run], spread: float) -> float:
+def safety_margin(runs: typing.Iterable[Run], spread: float) -> float:
     """Return the tokens by which a sum of predictions may fall short.
 
     Answers are off by a part of their length, each by its own, so errors add
@@ -81,8 +81,8 @@
         runs: that are summed up.
         spread: how far lengths lie from their predictions.
     """
-    squares = sum(run.output**2 for run in runs)
-    return DEVIATIONS * spread * math.sqrt(squares)
+    squares = sum(run.predicted_output**2 for run in runs)
+    return MARGIN_DEVIATIONS * spread * math.sqrt(squares)
 
 
 class EngineMemory:
@@ -101,10 +101,10 @@
         self._beside = 0.0
         self.capacity = capacity
         self.slots = slots
-        self.pace = FIRST_PACE
-        self.paced = 0
+        self.pace = INITIAL_PACE
+        self.paced_tokens = 0
         self.spread = 0.0
-        self.foreign = 0.0
+        self.unknown_tokens = 0.0
         self._runs: dict[ids.StreamId, Run] = {}
         self._ended: list[tuple[float, float]] = []
 
@@ -124,11 +124,11 @@
             self._ended.append((now, self._held(run, now)))
         return run
 
-    def take_back(self, stream: ids.StreamId) -> None:
+    def discard(self, stream: ids.StreamId) -> None:
         """Undo an `add` that nothing came of."""
         self._runs.pop(stream, None)
 
-    def progress(
+    def record_progress(
         self, stream: ids.StreamId, made: int, made_at: float
     ) -> None:
         """Take how far a run has come, as its VM tells it.
@@ -137,14 +137,14 @@
         answers: a burst fills them in less time than an answer takes.
         """
         run = self._runs[stream]
-        if made <= run.made:
+        if made <= run.generated:
             return
-        if run.made:
-            self._learn_pace(made - run.made, made_at - run.made_at)
-        run.made = made
-        run.made_at = made_at
+        if run.generated:
+            self._learn_pace(made - run.generated, made_at - run.generated_at)
+        run.generated = made
+        run.generated_at = made_at
 
-    def ended(
+    def record_end(
         self, stream: ids.StreamId, tokens: int, seconds: float, now: float
     ) -> None:
         """Take that a run has ended well.
@@ -156,26 +156,28 @@
             now: monotonic seconds.
         """
         run = self._runs.get(stream)
-        if run is not None and run.made:
-            self.progress(stream, tokens, now)
+        if run is not None and run.generated:
+            self.record_progress(stream, tokens, now)
         else:
             self._learn_pace(tokens, seconds)
 
     def _learn_pace(self, tokens: int, seconds: float) -> None:
         if tokens <= 0 or seconds <= 0:
             return
-        self.paced += tokens
-        weight = min(1.0, max(tokens / _PACE_TOKENS, tokens / self.paced))
+        self.paced_tokens += tokens
+        weight = min(
+            1.0, max(tokens / _PACE_TOKENS, tokens / self.paced_tokens)
+        )
         self.pace += weight * (seconds / tokens - self.pace)
         runs = max(1, len(self._runs))
         self._beside += weight * (runs - self._beside)
-        self._shown.learn(runs, tokens, seconds)
+        self._shown.add_sample(runs, tokens, seconds)
 
-    def pace_beside(self, runs: float) -> float:
+    def pace_at_batch(self, runs: float) -> float:
         """Return the seconds for a token beside some number of runs."""
-        return self.pace * self._shown.slower(self._beside, runs)
+        return self.pace * self._shown.slowdown(self._beside, runs)
 
-    def observe(self, used: int, now: float) -> None:
+    def record_usage(self, used: int, now: float) -> None:
         """Take the used tokens of a report.
 
         What is over everything that this owner knows of, now and shortly
@@ -184,16 +186,16 @@
         self._ended = [e for e in self._ended if now - e[0] < _RECENT]
         own = sum(self._held(run, now) for run in self._runs.values())
         own += sum(tokens for _, tokens in self._ended)
-        self.foreign = max(0.0, used - own)
+        self.unknown_tokens = max(0.0, used - own)
 
-    def peak(self, added: Run, now: float) -> float:
+    def peak_usage(self, added: Run, now: float) -> float:
         """Return the highest predicted use with one more run."""
         spans = [self._span(run, now) for run in self._runs.values()]
         spans.append(self._span(added, now))
         pace = self.pace
-        highest = self.foreign
+        highest = self.unknown_tokens
         for _, moment, _ in spans:
-            used = self.foreign
+            used = self.unknown_tokens
             for start, end, prompt in spans:
                 if start <= moment <= end:
                     used += prompt + (moment - start) / pace
@@ -207,7 +209,7 @@
         """Return whether one more run fits."""
         if len(self._runs) >= self.slots:
             return False
-        if not self._runs and not self.foreign:
+        if not self._runs and not self.unknown_tokens:
             # Nothing is gained by waiting; if it is too large, the engine
             # says so.
             return True
@@ -215,39 +217,40 @@
         # second over all engines, and the sum over time costs the square
         # of the runs.
         runs = (*self._runs.values(), added)
-        room = self.capacity - margin(runs, self.spread)
-        most = self.foreign + sum(
-            run.prompt + max(run.output, _OVERRUN * self._made(run, now))
+        room = self.capacity - safety_margin(runs, self.spread)
+        most = self.unknown_tokens + sum(
+            run.prompt_tokens
+            + max(run.predicted_output, _OVERRUN * self._made(run, now))
             for run in runs
         )
         if most <= room:
             return True
-        least = self.foreign + sum(run.prompt for run in runs)
+        least = self.unknown_tokens + sum(run.prompt_tokens for run in runs)
         if least > room:
             return False
-        return self.peak(added, now) <= room
+        return self.peak_usage(added, now) <= room
 
     def load(self, now: float) -> float:
         """Return the part of the memory that is held now."""
         held = sum(self._held(run, now) for run in self._runs.values())
-        return (held + self.foreign) / max(1, self.capacity)
+        return (held + self.unknown_tokens) / max(1, self.capacity)
 
     def _span(self, run: Run, now: float) -> tuple[float, float, int]:
         """Return start, predicted end and prompt of a run."""
         made = self._made(run, now)
-        output = float(run.output)
+        output = float(run.predicted_output)
         if made > output:
-            output = min(run.most, made * _OVERRUN)
+            output = min(run.max_output, made * _OVERRUN)
         if made > 0:
             # As if it had always made tokens at the present pace.
             starts_at = now - made * self.pace
-            return starts_at, starts_at + output * self.pace, run.prompt
+            return starts_at, starts_at + output * self.pace, run.prompt_tokens
         end = run.starts_at + output * self.pace
-        return run.starts_at, max(now, end), run.prompt
+        return run.starts_at, max(now, end), run.prompt_tokens
 
     def _held(self, run: Run, now: float) -> float:
-        return run.prompt + min(run.most, self._made(run, now))
+        return run.prompt_tokens + min(run.max_output, self._made(run, now))
 
     def _made(self, run: Run, now: float) -> float:
-        since = run.made_at if run.made else run.starts_at
-        return run.made + max(0.0, now - since) / self.pace
+        since = run.generated_at if run.generated else run.starts_at
+        return run.generated + max(0.0, now - since) / self.pace
--- a/galenahatch/core/pace.py
+++ b/galenahatch/core/pace.py
@@ -40,14 +40,14 @@
     """
 
     def __init__(self) -> None:
-        self.tokens = 0
+        self.sampled_tokens = 0
         self._weight = 0.0
         self._runs = 0.0
         self._seconds = 0.0
         self._runs_runs = 0.0
         self._runs_seconds = 0.0
 
-    def learn(self, runs: float, tokens: int, seconds: float) -> None:
+    def add_sample(self, runs: float, tokens: int, seconds: float) -> None:
         """Take what a run made.
 
         Args:
@@ -55,7 +55,7 @@
             tokens: that it made.
             seconds: that they took.
         """
-        self.tokens += tokens
+        self.sampled_tokens += tokens
         keep = max(0.0, 1 - tokens / _TOKENS)
         self._weight = self._weight * keep + tokens
         share = tokens / self._weight
@@ -67,7 +67,7 @@
         self._runs_runs += share * (rest * off_runs - self._runs_runs)
         self._runs_seconds += share * (rest * off_seconds - self._runs_seconds)
 
-    def slower(self, before: float, after: float) -> float:
+    def slowdown(self, before: float, after: float) -> float:
         """Return by what factor a token takes longer beside more runs.
 
         Args:
--- a/galenahatch/core/placements.py
+++ b/galenahatch/core/placements.py
@@ -102,7 +102,7 @@
     free = set(decodes) - taken
     if taken and not free:
         return None
-    if reading and not job.is_read and reading.issuperset(prefills):
+    if reading and not job.is_prefilled and reading.issuperset(prefills):
         return None
     avoid = job.avoid | taken | reading
     if not free - job.avoid:
--- a/galenahatch/core/pool.py
+++ b/galenahatch/core/pool.py
@@ -200,7 +200,7 @@
         self._told[engine] = _Told(stage, busy, now)
         decode = self.decodes.get(engine)
         if decode is not None:
-            decode.memory.observe(used, now)
+            decode.memory.record_usage(used, now)
 
     def changing(
         self, engine: ids.UpstreamId, stage: upstreams.Stage, until: float
@@ -247,7 +247,7 @@
 
     def full_pace(self, runs: float, otherwise: float) -> float:
         """Return the mean seconds for a token at engines with some runs."""
-        known = [e.memory.pace_beside(runs) for e in self.decodes.values()]
+        known = [e.memory.pace_at_batch(runs) for e in self.decodes.values()]
         return sum(known) / len(known) if known else otherwise
 
     def readers(self, now: float) -> int:
@@ -294,7 +294,7 @@
         Those of engines whose entries have lapsed since count as well: they
         are back within seconds, and no order was given until then.
         """
-        return self._pace.tokens
+        return self._pace.sampled_tokens
 
     # Choices.
 
@@ -349,8 +349,8 @@
             ready: when the prompt will have been read.
             now: monotonic seconds.
         """
-        run = job.run(ready)
-        reads = prefill is None and not job.is_read
+        run = job.make_run(ready)
+        reads = prefill is None and not job.is_prefilled
         found = [
             engine
             for engine in self.usable_decodes(job, now)
@@ -402,7 +402,9 @@
         if held <= 0:
             return self.slots
         runs = self.capacity / held
-        margin = memory.DEVIATIONS * self.spread * output * math.sqrt(runs)
+        margin = (
+            memory.MARGIN_DEVIATIONS * self.spread * output * math.sqrt(runs)
+        )
         return max(1.0, min(self.slots, (self.capacity - margin) / held))
 
     def service_rate(self, held: float, output: float, read: float) -> float:
@@ -417,6 +419,7 @@
             return 0.0
         runs = self.at_once(held, output)
         return sum(
-            runs / (max(0.1, output * engine.memory.pace_beside(runs)) + read)
+            runs
+            / (max(0.1, output * engine.memory.pace_at_batch(runs)) + read)
             for engine in self.decodes.values()
         )
--- a/galenahatch/core/reading.py
+++ b/galenahatch/core/reading.py
@@ -48,7 +48,7 @@
 
 def seconds(job: generations.Job, measures: figures.Measures) -> float:
     """Return how long a decode engine reads a prompt."""
-    return _SLOWER * job.prompt / measures.figures.rate
+    return _SLOWER * job.prompt_tokens / measures.figures.rate
 
 
 def occupied(job: generations.Job, measures: figures.Measures) -> float:
@@ -63,7 +63,7 @@
 
 def is_short(job: generations.Job, measures: figures.Measures) -> bool:
     """Return whether a reading fits into the pause that is allowed."""
-    return seconds(job, measures) <= _PAUSE_SHARE * job.longest_pause
+    return seconds(job, measures) <= _PAUSE_SHARE * job.max_pause
 
 
 def limits(prefills: int, ending: float, measures: figures.Measures) -> bool:
@@ -93,4 +93,4 @@
     """
     each = measures.occupied(measures.figures.prompt)
     wait = waiting * each / max(1, prefills)
-    return wait > _BEHIND * (job.start_by - job.arrived_at)
+    return wait > _BEHIND * (job.start_deadline - job.arrived_at)
--- a/galenahatch/core/waiting.py
+++ b/galenahatch/core/waiting.py
@@ -47,22 +47,30 @@
 
     One that an engine has failed already is served late if need be.
     """
-    return job.leaves_at if job.avoid else job.start_by
+    return job.abandon_at if job.avoid else job.start_deadline
 
 
 def is_due(job: Job, now: float) -> bool:
     """Return whether a request is to be kept or refused now."""
-    return not job.going_on and not job.kept and has_waited(job, now)
+    return (
+        not job.is_continuation
+        and not job.is_committed
+        and has_waited(job, now)
+    )
 
 
 def has_become_late(job: Job, now: float) -> bool:
     """Return whether a request that is kept can't start in time any more."""
-    return job.kept and not job.going_on and now > job.start_by
+    return (
+        job.is_committed
+        and not job.is_continuation
+        and now > job.start_deadline
+    )
 
 
 def has_waited(job: Job, now: float) -> bool:
     """Return whether a request has waited for longer than costs nothing."""
-    objective = max(0.0, job.start_by - job.arrived_at)
+    objective = max(0.0, job.start_deadline - job.arrived_at)
     return now >= job.arrived_at + _UNDECIDED * objective
 
 
@@ -92,7 +100,7 @@
     def keep(self, job: Job, is_late: bool = False) -> None:
         """Note that a request is to be served, in time or late."""
         self._jobs[job.stream] = dataclasses.replace(
-            job, kept=True, is_late=is_late
+            job, is_committed=True, is_late=is_late
         )
 
     def in_order(self, now: float) -> list[Job]:
@@ -110,11 +118,11 @@
         One that has no further attempt, with nobody before it, every few
         seconds: it is the first to be served when a burst is over.
         """
-        if self._jobs or not job.returned:
+        if self._jobs or not job.is_retry:
             return False
         if now - self._probed_at < _PROBE_EVERY:
             return False
-        if now + self._measures.until_first(job) > job.leaves_at:
+        if now + self._measures.until_first(job) > job.abandon_at:
             return False
         self._probed_at = now
         return True
@@ -124,18 +132,18 @@
         if job.deadline < now + self._measures.shortest_life(job):
             return True
         first_at = now + self._measures.until_first(job)
-        return not job.going_on and job.leaves_at < first_at
+        return not job.is_continuation and job.abandon_at < first_at
 
     def _ranking(self, now: float) -> collections.abc.Callable[[Job], Rank]:
         def rank(job: Job) -> Rank:
-            if job.going_on:
+            if job.is_continuation:
                 return 0, 0, job.arrived_at
-            late = job.start_by < now + self._measures.until_first(job)
+            late = job.start_deadline < now + self._measures.until_first(job)
             if job.is_late or late:
-                turn = 4 if job.returned else 5
-                return turn, job.priority, job.leaves_at
-            if job.kept:
+                turn = 4 if job.is_retry else 5
+                return turn, job.priority, job.abandon_at
+            if job.is_committed:
                 return 1, job.priority, job.arrived_at
-            return 2 if job.returned else 3, job.priority, job.start_by
+            return 2 if job.is_retry else 3, job.priority, job.start_deadline
 
         return rank
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -74,14 +74,14 @@
     job = generations.Job(
         stream=ids.StreamId(f's{number}'),
         entry=_MEMBER,
-        prompt=prompt,
-        hint=output,
-        most=output * 2,
+        prompt_tokens=prompt,
+        output_hint=output,
+        max_output=output * 2,
         arrived_at=now,
-        start_by=now + patience,
-        leaves_at=now + 3.6,
+        start_deadline=now + patience,
+        abandon_at=now + 3.6,
         deadline=now + 14,
-        subject=subject or f'subject{number}',
+        fingerprint=subject or f'subject{number}',
         data_centre=ids.DataCentre('a'),
     )
     for name, value in more.items():
@@ -254,9 +254,9 @@
 def test_memory_of_others_counts() -> None:
     """What a report shows beyond our own runs is taken into account."""
     engine = memory.EngineMemory(10_000, 8)
-    engine.observe(8000, 0.0)
+    engine.record_usage(8000, 0.0)
     assert not engine.fits(_run('a', 3000, 100), 0.0)
-    engine.observe(0, 1.0)
+    engine.record_usage(0, 1.0)
     assert engine.fits(_run('a', 3000, 100), 1.0)
 
 
@@ -265,8 +265,8 @@
     engine = memory.EngineMemory(10_000, 8)
     engine.add(_run('a', 3000, 1000))
     engine.remove(ids.StreamId('a'), 1.0)
-    engine.observe(4000, 1.2)
-    assert engine.foreign < 1
+    engine.record_usage(4000, 1.2)
+    assert engine.unknown_tokens < 1
 
 
 def test_overrun_is_expected_to_go_on() -> None:
@@ -393,7 +393,7 @@
         owner.decide(0.2 * number)
     refused = owner.submit(_job(3, 0.5, subject='x'), 0.5)
     assert isinstance(refused, generations.Refused)
-    hopeless = _job(4, 0.9, subject='x', leaves_at=1.0)
+    hopeless = _job(4, 0.9, subject='x', abandon_at=1.0)
     assert isinstance(owner.submit(hopeless, 0.9), generations.Refused)
     assert owner.submit(_job(5, 0.9, subject='x'), 0.9) is None
     assert not owner.decide(2.0)
@@ -411,7 +411,7 @@
     for number in range(4):
         owner.submit(_job(number, 0.0, patience=3.5), 0.0)
         owner.decide(0.2 * number)
-    late = _job(5, 2.0, patience=0.3, leaves_at=5.6)
+    late = _job(5, 2.0, patience=0.3, abandon_at=5.6)
     assert owner.submit(late, 2.0) is None
     assert not owner.decide(2.1)
     owner.release(ids.StreamId('s0'), 3000, 3.0, 3.0)
@@ -504,7 +504,7 @@
     owner = _dispatcher(prefills=2, decodes=2)
     for name in ('d0', 'd1'):
         owner.engines.failed(ids.UpstreamId(name), 0.0, unreachable=True)
-    gone_soon = _job(1, 0.0, patience=0.4, leaves_at=0.45)
+    gone_soon = _job(1, 0.0, patience=0.4, abandon_at=0.45)
     refused = owner.submit(gone_soon, 0.0)
     assert isinstance(refused, generations.Refused)
     assert refused.retry_after >= 0.5, 'not before the next trial'
--- a/galenahatch/test/test_incarnations.py
+++ b/galenahatch/test/test_incarnations.py
@@ -320,14 +320,14 @@
     return generations.Job(
         stream=ids.StreamId(f's{number}'),
         entry=ids.MemberId('10.0.0.1'),
-        prompt=5000,
-        hint=3000,
-        most=6000,
+        prompt_tokens=5000,
+        output_hint=3000,
+        max_output=6000,
         arrived_at=now,
-        start_by=now + 0.9,
-        leaves_at=now + 3.6,
+        start_deadline=now + 0.9,
+        abandon_at=now + 3.6,
         deadline=now + 14,
-        subject=f'subject{number}',
+        fingerprint=f'subject{number}',
         data_centre=ids.DataCentre('a'),
     )
 
--- a/galenahatch/test/test_load.py
+++ b/galenahatch/test/test_load.py
@@ -129,7 +129,7 @@
         now = 0.25 * beat
         for stream in list(engine.runs):
             made = 8 * int(now / 0.006 / 8)
-            engine.progress(stream, made, now)
+            engine.record_progress(stream, made, now)
     assert engine.pace == pytest.approx(0.006, rel=0.1)
 
 
@@ -142,10 +142,10 @@
     shown = pace.Pace()
     for number in range(200):
         runs = 2 + number % 4
-        shown.learn(runs, 40, 40 * (0.004 + 0.0003 * runs))
-    factor = shown.slower(2, 10)
+        shown.add_sample(runs, 40, 40 * (0.004 + 0.0003 * runs))
+    factor = shown.slowdown(2, 10)
     assert factor == pytest.approx(0.007 / 0.0046, rel=0.2)
-    assert shown.slower(5, 5) == 1.0
+    assert shown.slowdown(5, 5) == 1.0
 
 
 def test_start_is_expected_when_it_comes() -> None:
@@ -257,14 +257,14 @@
     return generations.Job(
         stream=ids.StreamId(str(number)),
         entry=ids.MemberId('m'),
-        prompt=5000,
-        hint=400,
-        most=1200,
+        prompt_tokens=5000,
+        output_hint=400,
+        max_output=1200,
         arrived_at=now,
-        start_by=now + 0.9,
-        leaves_at=now + 3.6,
+        start_deadline=now + 0.9,
+        abandon_at=now + 3.6,
         deadline=now + 14,
-        subject=str(number),
+        fingerprint=str(number),
         data_centre=ids.DataCentre('a'),
     )
 
--- a/galenahatch/test/test_ratelimits.py
+++ b/galenahatch/test/test_ratelimits.py
@@ -322,14 +322,14 @@
     return generations.Job(
         stream=ids.StreamId(f's{number}'),
         entry=ids.MemberId('vm'),
-        prompt=1000,
-        hint=0,
-        most=100,
+        prompt_tokens=1000,
+        output_hint=0,
+        max_output=100,
         arrived_at=0.0,
-        start_by=0.9,
-        leaves_at=3.6,
+        start_deadline=0.9,
+        abandon_at=3.6,
         deadline=14.0,
-        subject=f'subject{number}',
+        fingerprint=f'subject{number}',
         data_centre=ids.DataCentre('dc1'),
     )
 
--- a/galenahatch/test/test_reading.py
+++ b/galenahatch/test/test_reading.py
@@ -45,16 +45,16 @@
     return generations.Job(
         stream=ids.StreamId(f's{number}'),
         entry=ids.MemberId('10.0.0.1'),
-        prompt=prompt,
-        hint=3000,
-        most=6000,
+        prompt_tokens=prompt,
+        output_hint=3000,
+        max_output=6000,
         arrived_at=0.0,
-        start_by=0.9,
-        leaves_at=3.6,
+        start_deadline=0.9,
+        abandon_at=3.6,
         deadline=14.0,
-        subject=f'subject{number}',
+        fingerprint=f'subject{number}',
         data_centre=ids.DataCentre('a'),
-        longest_pause=_PAUSE,
+        max_pause=_PAUSE,
     )
 
 
