--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -96,7 +96,7 @@
             return self.refuse(job, 'engines_hold_back', now)
         if job.is_committed:
             return None
-        wait = _CAUTION * self._forecast.wait(job, 1, now)
+        wait = _CAUTION * self._forecast.predict_wait(job, 1, now)
         if now + wait > waiting.limit(job):
             return self.keep_late(job, wait, now)
         self._queue.keep(job)
@@ -113,17 +113,19 @@
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
         owed = 1 + self._returns.due(now)
-        late = self._forecast.late_wait(job, owed, now)
+        late = self._forecast.predict_late_wait(job, owed, now)
         is_in_vain = now + late > job.abandon_at
         if is_in_vain and not self._queue.is_probe(job, now):
-            return self.refuse(job, self._forecast.why(job, wait), now)
+            return self.refuse(
+                job, self._forecast.describe_refusal(job, wait), now
+            )
         self._queue.keep(job, is_late=True)
         return None
 
     def refuse(self, job: Job, why: str, now: float) -> generations.Refused:
         """Give a request up, and promise when there is room for it."""
         self._division.record_refusal(now)
-        rate = self._forecast.rate()
+        rate = self._forecast.service_rate()
         queued = len(self._queue) / rate if rate else 0.0
         # Who was told to come later than its caller can wait does not come.
         until_room = max(
@@ -136,7 +138,7 @@
         queued = max(queued, self._pool.next_trial(now), until_room)
         wait = self._returns.promise(
             job.fingerprint,
-            self._forecast.spare(now),
+            self._forecast.spare_rate(now),
             queued,
             job.deadline - now,
             job.arrived_at,
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -78,7 +78,7 @@
             limiter = ratelimits.Limiter(random.Random())
         self._limiter = limiter
         self._pool = pool.Pool(capacity, slots, limiter)
-        self._measures = figures.Measures()
+        self._measures = figures.Estimator()
         self._returns = returns.Returns()
         self._queue = waiting.Waiting(self._measures)
         self._forecast = forecast.Forecast(
@@ -120,7 +120,7 @@
     @property
     def measured_figures(self) -> figures.Figures:
         """What was measured so far."""
-        self._measures.note_pace(
+        self._measures.record_pace(
             self._pool.mean_pace(self._measures.figures.pace)
         )
         return self._measures.figures
@@ -175,9 +175,9 @@
                 job,
                 start_deadline=job.start_deadline - job.arrived_at + first_at,
             )
-        self._measures.note_size(job.prompt_tokens, job.predicted_output)
+        self._measures.record_size(job.prompt_tokens, job.predicted_output)
         if not returned:
-            self._measures.note_arrival(now)
+            self._measures.record_arrival(now)
         self._forget(job.stream, now)
         if not self._pool.decodes:
             return self._admission.refuse(job, 'no_engine', now)
@@ -185,7 +185,7 @@
             if self._admission.is_limited(job, now):
                 return self._admission.refuse(job, 'engines_hold_back', now)
             owed = 1 + self._returns.due(now)
-            wait = self._forecast.wait(job, owed, now)
+            wait = self._forecast.predict_wait(job, owed, now)
             if now + wait > waiting.limit(job):
                 return self._admission.keep_late(job, wait, now)
         self._queue.add(job)
@@ -203,7 +203,7 @@
             decision: generations.Decision | None = None
             if self._queue.is_hopeless(job, now):
                 decision = self._admission.refuse(job, 'no_time_left', now)
-            elif lacks < forecast.LOOKED_AT:
+            elif lacks < forecast.MAX_JOBS_CHECKED:
                 found = self._place(job, now)
                 if isinstance(found, generations.Placed):
                     decision = found
@@ -222,7 +222,7 @@
     def _lacks(self, lack: generations.Lack, job: Job, now: float) -> int:
         """Return how many of those behind need not be looked at."""
         if lack is generations.Lack.MEMORY:
-            return forecast.LOOKED_AT
+            return forecast.MAX_JOBS_CHECKED
         if lack is generations.Lack.PREFILL and waiting.has_waited(job, now):
             self._division.record_prefill_wait(now)
         return 1
@@ -240,19 +240,19 @@
         if placement is None or placement.prefill is None:
             return
         if placement.is_alone:
-            self._measures.note_prefill(tokens, seconds)
+            self._measures.record_prefill(tokens, seconds)
         placement.read_at = now
         self._pool.answered(placement.prefill, stream, seconds, now)
         alone = self._pool.read(
             placement.prefill,
             placement.placed_at,
             tokens,
-            self._measures.line,
+            self._measures.prefill_line,
             self._measures.figures.alone,
             now,
         )
         if alone is not None:
-            self._measures.note_overlap(alone)
+            self._measures.record_overlap(alone)
 
     def record_first_event(self, stream: ids.StreamId, now: float) -> None:
         """Note the first event of a stream."""
@@ -261,7 +261,7 @@
         if placement is not None:
             placement.started_at = now
             if placement.read_at is not None:
-                self._measures.note_start(now - placement.read_at)
+                self._measures.record_start(now - placement.read_at)
             self._pool.alive(placement.engine)
             self._pool.alive(placement.prefill)
         run = self._run(stream)
@@ -281,7 +281,7 @@
         """
         placement = self._placements.get(stream)
         if placement is not None and tokens:
-            self._measures.lengths.learn(placement.hint, tokens)
+            self._measures.lengths.add_sample(placement.hint, tokens)
             self._pool.learn_spread(self._measures.lengths.spread)
             decode = self._pool.decodes.get(placement.engine)
             if decode is not None:
@@ -337,14 +337,14 @@
             return generations.Lack.TRIAL
         job, prefill = apart, None
         if not job.is_prefilled:
-            explore = not self._measures.knows_overlap
-            reads = self._measures.reading(job.prompt_tokens)
+            explore = not self._measures.has_overlap_estimate
+            reads = self._measures.prefill_seconds(job.prompt_tokens)
             prefill = self._pool.choose_prefill(job, reads, explore, now)
         if prefill is not None and prefill.idle_at > now + PREFILL_LOOKAHEAD_S:
-            if not self._forecast.decode_may_read(job, now):
+            if not self._forecast.may_prefill_at_decode(job, now):
                 return generations.Lack.PREFILL
             prefill = None
-        ready = now + self._measures.until_first(job)
+        ready = now + self._measures.seconds_to_first_event(job)
         if prefill is None and not job.is_prefilled:
             ready += reading.seconds(job, self._measures)
         decode = self._pool.choose_decode(job, prefill, ready, now)
@@ -368,7 +368,7 @@
         """Note where a request goes."""
         chosen = prefill.upstream.id if prefill is not None else None
         self._returns.served(job.fingerprint)
-        self._measures.note_placed(now)
+        self._measures.record_placement(now)
         decode.memory.add(job.make_run(ready))
         decode.health.given(now)
         placement = placements.Placement(
@@ -384,8 +384,8 @@
             placement.is_alone = not prefill.unread
             prefill.give(
                 job.stream,
-                self._measures.reading(job.prompt_tokens),
-                self._measures.occupied(job.prompt_tokens),
+                self._measures.prefill_seconds(job.prompt_tokens),
+                self._measures.prefill_busy_seconds(job.prompt_tokens),
                 now,
             )
         elif not job.is_prefilled:
--- a/galenahatch/core/division.py
+++ b/galenahatch/core/division.py
@@ -51,7 +51,7 @@
     def __init__(
         self,
         engines: pool.Pool,
-        measures: figures.Measures,
+        measures: figures.Estimator,
         expected: forecast.Forecast,
     ) -> None:
         self._pool = engines
@@ -104,7 +104,7 @@
         )
         is_calm = not is_waiting and now - self._short_at > _CALM
         return self._planner.plan(
-            self._forecast.works(),
+            self._forecast.request_costs(),
             [engine.upstream for engine in prefills],
             [engine.upstream for engine in decodes],
             is_calm,
--- a/galenahatch/core/figures.py
+++ b/galenahatch/core/figures.py
@@ -20,9 +20,9 @@
 from galenahatch.core import lengths
 from galenahatch.core import memory
 
-FIRST_RATE: typing.Final = 40_000.0
+INITIAL_PREFILL_RATE: typing.Final = 40_000.0
 """Prompt tokens a second of a prefill engine before any was measured."""
-FIRST_SLACK: typing.Final = 0.15
+INITIAL_SLACK_S: typing.Final = 0.15
 """Seconds from the end of a prefill to the first event, before any was
 measured: transfer, first step, network. A guess on the long side: engines
 that were measured took 0.006 to 0.02 s."""
@@ -73,7 +73,7 @@
         pairs: prompts that told whether the engine had read within the delay.
     """
 
-    rate: float = FIRST_RATE
+    rate: float = INITIAL_PREFILL_RATE
     prompt: float = 0.0
     output: float = 0.0
     pace: float = memory.INITIAL_PACE
@@ -81,7 +81,7 @@
     delay: float = 0.0
     alone: float = 0.0
     reads: int = 0
-    slack: float = FIRST_SLACK
+    slack: float = INITIAL_SLACK_S
     pairs: int = 0
 
 
@@ -115,7 +115,7 @@
         return self.count(now) / max(1.0, self.age(now))
 
 
-class Measures:
+class Estimator:
     """Running measurements of one service."""
 
     def __init__(self) -> None:
@@ -132,7 +132,7 @@
         self._placed = _Recent(_USUAL_SPAN)
 
     @property
-    def held(self) -> float:
+    def mean_held_tokens(self) -> float:
         """Mean tokens that a run holds over its life."""
         return self.figures.prompt + self.figures.output / 2
 
@@ -144,7 +144,7 @@
         self._adopted_reads = figures.reads
         return True
 
-    def note_size(self, prompt: int, output: int) -> None:
+    def record_size(self, prompt: int, output: int) -> None:
         """Take the sizes of a request, its answer's as predicted."""
         known = self.figures
         seen = known.seen + 1
@@ -155,13 +155,13 @@
             seen=seen,
         )
 
-    def note_arrival(self, now: float) -> None:
+    def record_arrival(self, now: float) -> None:
         """Count a request that does not come back."""
         self._usual.note(now)
         self._asked.note(now)
         self._present.note(now)
 
-    def note_placed(self, now: float) -> None:
+    def record_placement(self, now: float) -> None:
         """Count a request that found a place."""
         self._placed.note(now)
 
@@ -169,7 +169,7 @@
         """Return the requests a second that come now, without returns."""
         return self._present.rate(now)
 
-    def usual_rate(self, now: float) -> float:
+    def long_term_rate(self, now: float) -> float:
         """Return the same over several bursts and what lies between."""
         return self._usual.rate(now)
 
@@ -181,19 +181,19 @@
         asked = self._asked.count(now) - self._present.count(now)
         return self._placed.count(now) < _PLACED_SHARE * asked
 
-    def note_prefill(self, tokens: int, seconds: float) -> None:
+    def record_prefill(self, tokens: int, seconds: float) -> None:
         """Take how long a prefill took at an engine that had no other."""
         if tokens <= 0 or seconds <= 0:
             return
-        line = self._latency.learn(tokens, seconds, self.line)
+        line = self._latency.add_sample(tokens, seconds, self.prefill_line)
         self.figures = self.figures._replace(reads=self.figures.reads + 1)
-        if self._adopted_reads and not self._latency.is_known:
+        if self._adopted_reads and not self._latency.has_slope:
             # The owner before knew more than a few prompts can tell, which
             # may have met prompts that it placed.
             return
         self.figures = self.figures._replace(rate=line.rate, delay=line.delay)
 
-    def note_overlap(self, alone: float) -> None:
+    def record_overlap(self, alone: float) -> None:
         """Take in what part of the delay an engine read nothing else."""
         believed = self.figures.alone
         step = _OVERLAP_WEIGHT * (min(1.0, max(0.0, alone)) - believed)
@@ -201,59 +201,59 @@
             alone=believed + step, pairs=self.figures.pairs + 1
         )
 
-    def note_start(self, seconds: float) -> None:
+    def record_start(self, seconds: float) -> None:
         """Take the time from the end of a prefill to the first event."""
         self._slacks.append(seconds)
         ordered = sorted(self._slacks)
         slack = ordered[int(_SLACK_SHARE * len(ordered))]
         self.figures = self.figures._replace(slack=slack)
 
-    def note_pace(self, pace: float) -> None:
+    def record_pace(self, pace: float) -> None:
         """Take the mean pace of the engines."""
         self.figures = self.figures._replace(pace=pace)
 
     @property
-    def line(self) -> latency.Line:
+    def prefill_line(self) -> latency.Line:
         """What a prompt takes at an idle prefill engine."""
         return latency.Line(self.figures.delay, self.figures.rate)
 
-    def reading(self, prompt: int) -> float:
+    def prefill_seconds(self, prompt: int) -> float:
         """Return the seconds until a prefill engine has read a prompt."""
-        return self.line.seconds(prompt)
+        return self.prefill_line.seconds(prompt)
 
-    def occupied(self, prompt: float) -> float:
+    def prefill_busy_seconds(self, prompt: float) -> float:
         """Return the seconds for which a prompt keeps an engine busy."""
         known = self.figures
         return prompt / known.rate + known.alone * known.delay
 
-    def occupied_between(self) -> tuple[float, float]:
+    def prefill_busy_range(self) -> tuple[float, float]:
         """Return how short and how long a mean prompt may keep an engine."""
         known = self.figures
-        whole = self.reading(round(known.prompt))
-        if known.reads < latency.LEAST:
+        whole = self.prefill_seconds(round(known.prompt))
+        if known.reads < latency.MIN_SAMPLES:
             return _LEAST_WORK * whole, whole
-        if not self.knows_overlap:
+        if not self.has_overlap_estimate:
             return known.prompt / known.rate, whole
-        occupied = self.occupied(known.prompt)
+        occupied = self.prefill_busy_seconds(known.prompt)
         return occupied, occupied
 
     @property
-    def knows_overlap(self) -> bool:
+    def has_overlap_estimate(self) -> bool:
         """Whether it was seen if engines read within the delay."""
         return self.figures.pairs >= _LEAST_PAIRS
 
-    def until_first(self, job: generations.Job) -> float:
+    def seconds_to_first_event(self, job: generations.Job) -> float:
         """Return the seconds from placing to the first event."""
         slack = self.figures.slack
         return (
             slack
             if job.is_prefilled
-            else self.reading(job.prompt_tokens) + slack
+            else self.prefill_seconds(job.prompt_tokens) + slack
         )
 
-    def shortest_life(self, job: generations.Job) -> float:
+    def min_total_seconds(self, job: generations.Job) -> float:
         """Return the shortest time that a whole answer may take."""
         return (
-            self.reading(job.prompt_tokens)
+            self.prefill_seconds(job.prompt_tokens)
             + job.predicted_output * self.figures.pace / 2
         )
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -41,7 +41,7 @@
 _BURST_SPARE: typing.Final = 0.3
 """The same for first attempts while demand is no more than a burst: it is
 over before callers leave."""
-LOOKED_AT: typing.Final = 8
+MAX_JOBS_CHECKED: typing.Final = 8
 """Requests ahead for which room is looked for one by one; behind more of
 them the rate at which places become free tells enough."""
 
@@ -63,42 +63,46 @@
     def __init__(
         self,
         pool: pools.Pool,
-        measures: figures.Measures,
+        measures: figures.Estimator,
         queue: waiting.Waiting,
     ) -> None:
         self._pool = pool
         self._measures = measures
         self._queue = queue
 
-    def rate(self) -> float:
+    def service_rate(self) -> float:
         """Return the requests a second that the engines can serve."""
-        each = self._measures.occupied(self._measures.figures.prompt)
+        each = self._measures.prefill_busy_seconds(
+            self._measures.figures.prompt
+        )
         ending = self._ending_rate()
         if each <= 0:
             return ending
         return min(ending, self._lines(ending) / each)
 
-    def works(self) -> list[stages.RequestCost]:
+    def request_costs(self) -> list[stages.RequestCost]:
         """Return what a request of mean size costs at both stages.
 
         It may be either of what is returned, as far as it is known.
         """
         known = self._measures.figures
-        runs = self._pool.at_once(self._measures.held, known.output)
+        runs = self._pool.at_once(
+            self._measures.mean_held_tokens, known.output
+        )
         life = known.output * self._pool.full_pace(runs, known.pace)
-        life += self._measures.reading(round(known.prompt))
+        life += self._measures.prefill_seconds(round(known.prompt))
         helped = reading.mean_seconds(self._measures)
         return [
             stages.RequestCost(read, life / runs, helped)
-            for read in self._measures.occupied_between()
+            for read in self._measures.prefill_busy_range()
         ]
 
-    def why(self, job: Job, wait: float) -> str:
+    def describe_refusal(self, job: Job, wait: float) -> str:
         """Return what a refusal rests on, beliefs included, for the log."""
         known = self._measures.figures
         return (
             f'wait={wait:.3f} queue={len(self._queue)} returned={job.is_retry}'
-            f' served={self.rate():.1f}'
+            f' served={self.service_rate():.1f}'
             f' rate={known.rate:.0f} delay={known.delay:.3f}'
             f' alone={known.alone:.2f} slack={known.slack:.3f}'
             f' pace={self._pool.mean_pace(known.pace):.5f}'
@@ -106,7 +110,7 @@
             f' decodes={len(self._pool.decodes)}'
         )
 
-    def wait(self, job: Job, owed: int, now: float) -> float:
+    def predict_wait(self, job: Job, owed: int, now: float) -> float:
         """Return the predicted seconds until a request's first event.
 
         Args:
@@ -115,10 +119,11 @@
             now: monotonic seconds.
         """
         ahead = self._queue.ahead(job, now)
-        own = self._measures.until_first(job)
+        own = self._measures.seconds_to_first_event(job)
         rate = self._ending_rate()
         work = sum(
-            self._measures.occupied(other.prompt_tokens) for other in ahead
+            self._measures.prefill_busy_seconds(other.prompt_tokens)
+            for other in ahead
         )
         queued = work / self._lines(rate)
         before = max(queued, self._pool.next_trial(now))
@@ -126,7 +131,7 @@
             return own + before
         return own + max(before, (len(ahead) + owed) / rate)
 
-    def late_wait(self, job: Job, owed: int, now: float) -> float:
+    def predict_late_wait(self, job: Job, owed: int, now: float) -> float:
         """Return the predicted seconds until a late request's first event.
 
         All that come meanwhile and can start in time are placed before it. In
@@ -150,25 +155,25 @@
         if rate <= 0:
             return math.inf
         wait = max(ahead / rate, self._pool.next_trial(now))
-        return self._measures.until_first(job) + wait
+        return self._measures.seconds_to_first_event(job) + wait
 
     def _late_rate(self, job: Job, now: float) -> float:
         """Return the requests a second that are served late like one."""
         if self._measures.is_overloaded(now):
-            return self.spare(now)
-        rate = self.rate()
+            return self.spare_rate(now)
+        rate = self.service_rate()
         if job.is_retry:
             return rate
-        left = rate - self._measures.usual_rate(now)
+        left = rate - self._measures.long_term_rate(now)
         return max(_BURST_SPARE * rate, left)
 
-    def spare(self, now: float) -> float:
+    def spare_rate(self, now: float) -> float:
         """Return the requests a second that present traffic leaves."""
-        rate = self.rate()
+        rate = self.service_rate()
         left = rate - self._measures.arrival_rate(now)
         return max(_LEAST_SPARE * rate, left)
 
-    def decode_may_read(self, job: Job, now: float) -> bool:
+    def may_prefill_at_decode(self, job: Job, now: float) -> bool:
         """Return whether a decode engine should read a request's prompt."""
         if not reading.is_short(job, self._measures):
             return False
@@ -181,8 +186,10 @@
     def _ending_rate(self) -> float:
         """Return the runs a second that the decode engines can end."""
         known = self._measures.figures
-        read = self._measures.reading(round(known.prompt))
-        return self._pool.service_rate(self._measures.held, known.output, read)
+        read = self._measures.prefill_seconds(round(known.prompt))
+        return self._pool.service_rate(
+            self._measures.mean_held_tokens, known.output, read
+        )
 
     def _lines(self, ending: float) -> float:
         """Return how many prompts are read at the same time.
@@ -195,7 +202,9 @@
             # Decode engines read all prompts, one after another.
             mean = self._measures.figures.prompt
             each = reading.mean_seconds(self._measures) + reading.REST
-            lines = len(self._pool.decodes) * self._measures.occupied(mean)
+            lines = len(
+                self._pool.decodes
+            ) * self._measures.prefill_busy_seconds(mean)
             return max(lines / each, _LEAST_LINES)
         if not reading.limits(prefills, ending, self._measures):
             return prefills
@@ -205,12 +214,14 @@
         self, job: Job, ahead: collections.abc.Collection[Job], now: float
     ) -> bool:
         """Return whether there is memory now for a request and all before."""
-        if len(ahead) > LOOKED_AT:
+        if len(ahead) > MAX_JOBS_CHECKED:
             return False
         added = []
         try:
             for one in (*ahead, job):
-                run = one.make_run(now + self._measures.until_first(one))
+                run = one.make_run(
+                    now + self._measures.seconds_to_first_event(one)
+                )
                 usable = self._pool.usable_decodes(one, now)
                 fitting = (e for e in usable if e.fits(run, now))
                 engine = next(fitting, None)
--- a/galenahatch/core/latency.py
+++ b/galenahatch/core/latency.py
@@ -30,7 +30,7 @@
 _WINDOW: typing.Final = 45
 """Prefills that count. Thirds of 15 bear five outliers at most; the window
 turns over in about five seconds at one engine in steady use."""
-LEAST: typing.Final = 15
+MIN_SAMPLES: typing.Final = 15
 """Prefills from which on a plan rests on the slope; thirds of five."""
 _LEAST_FOR_SLOPE: typing.Final = 6
 """Prefills from which on there is a slope at all; thirds of two. Without one
@@ -76,11 +76,11 @@
         )
 
     @property
-    def is_known(self) -> bool:
+    def has_slope(self) -> bool:
         """Whether there are enough prefills for a slope."""
         return len(self._seen) >= _LEAST_FOR_SLOPE
 
-    def learn(self, tokens: int, seconds: float, believed: Line) -> Line:
+    def add_sample(self, tokens: int, seconds: float, believed: Line) -> Line:
         """Take a prefill; return the line through the newest ones.
 
         Args:
@@ -103,7 +103,7 @@
 
     def _slope(self) -> float | None:
         """Return tokens a second between small and large prompts."""
-        if not self.is_known:
+        if not self.has_slope:
             return None
         ordered = sorted(self._seen, key=lambda seen: seen[0])
         third = len(ordered) // 3
--- a/galenahatch/core/lengths.py
+++ b/galenahatch/core/lengths.py
@@ -28,7 +28,7 @@
 _SLOPE_WEIGHT: typing.Final = 2.0
 """How much evidence the first slope counts for, in squared logarithms; that
 of about eight requests."""
-FIRST_SPREAD: typing.Final = 0.3
+INITIAL_SPREAD: typing.Final = 0.3
 """Spread of the answers before four were seen. Not measured: it holds for
 the first four answers of an owner only."""
 _LEAST: typing.Final = 4
@@ -47,7 +47,7 @@
         self._hint_length = 0.0
         self._length_length = 0.0
 
-    def learn(self, hint: int, length: int) -> None:
+    def add_sample(self, hint: int, length: int) -> None:
         """Take a caller's estimate and what came of it, in tokens."""
         if hint <= 0 or length <= 0:
             return
@@ -73,7 +73,7 @@
     def spread(self) -> float:
         """How far lengths lie from their predictions, in parts of those."""
         if self._count < _LEAST:
-            return FIRST_SPREAD
+            return INITIAL_SPREAD
         rest = self._length_length - self._slope() * self._hint_length
         return math.sqrt(math.expm1(max(0.0, rest) / self._weight))
 
--- a/galenahatch/core/pool.py
+++ b/galenahatch/core/pool.py
@@ -66,7 +66,7 @@
         self.slots = slots
         self.prefills: dict[ids.UpstreamId, modelengines.PrefillEngine] = {}
         self.decodes: dict[ids.UpstreamId, modelengines.DecodeEngine] = {}
-        self.spread = lengths.FIRST_SPREAD
+        self.spread = lengths.INITIAL_SPREAD
         self._pace = paces.Pace()
         self._told: dict[ids.UpstreamId, _Told] = {}
         self._healths: dict[ids.UpstreamId, modelengines.Health] = {}
--- a/galenahatch/core/reading.py
+++ b/galenahatch/core/reading.py
@@ -46,27 +46,27 @@
 short enough."""
 
 
-def seconds(job: generations.Job, measures: figures.Measures) -> float:
+def seconds(job: generations.Job, measures: figures.Estimator) -> float:
     """Return how long a decode engine reads a prompt."""
     return _SLOWER * job.prompt_tokens / measures.figures.rate
 
 
-def occupied(job: generations.Job, measures: figures.Measures) -> float:
+def occupied(job: generations.Job, measures: figures.Estimator) -> float:
     """Return the seconds in which it reads no other prompt."""
     return seconds(job, measures) + REST
 
 
-def mean_seconds(measures: figures.Measures) -> float:
+def mean_seconds(measures: figures.Estimator) -> float:
     """Return how long a decode engine reads a prompt of mean length."""
     return _SLOWER * measures.figures.prompt / measures.figures.rate
 
 
-def is_short(job: generations.Job, measures: figures.Measures) -> bool:
+def is_short(job: generations.Job, measures: figures.Estimator) -> bool:
     """Return whether a reading fits into the pause that is allowed."""
     return seconds(job, measures) <= _PAUSE_SHARE * job.max_pause
 
 
-def limits(prefills: int, ending: float, measures: figures.Measures) -> bool:
+def limits(prefills: int, ending: float, measures: figures.Estimator) -> bool:
     """Return whether prefill engines, and not memory, limit what is served.
 
     Args:
@@ -74,14 +74,16 @@
         ending: runs a second that the decode engines can end.
         measures: what a prompt takes.
     """
-    return prefills < ending * measures.occupied(measures.figures.prompt)
+    return prefills < ending * measures.prefill_busy_seconds(
+        measures.figures.prompt
+    )
 
 
 def is_behind(
     job: generations.Job,
     waiting: int,
     prefills: int,
-    measures: figures.Measures,
+    measures: figures.Estimator,
 ) -> bool:
     """Return whether prefill engines are too late for a request.
 
@@ -91,6 +93,6 @@
         prefills: engines that read prompts.
         measures: what a prompt takes.
     """
-    each = measures.occupied(measures.figures.prompt)
+    each = measures.prefill_busy_seconds(measures.figures.prompt)
     wait = waiting * each / max(1, prefills)
     return wait > _BEHIND * (job.start_deadline - job.arrived_at)
--- a/galenahatch/core/waiting.py
+++ b/galenahatch/core/waiting.py
@@ -81,7 +81,7 @@
         measures: tell how long a request takes once it is placed.
     """
 
-    def __init__(self, measures: figures.Measures) -> None:
+    def __init__(self, measures: figures.Estimator) -> None:
         self._measures = measures
         self._jobs: dict[ids.StreamId, Job] = {}
         self._probed_at = -1e9
@@ -122,23 +122,26 @@
             return False
         if now - self._probed_at < _PROBE_EVERY:
             return False
-        if now + self._measures.until_first(job) > job.abandon_at:
+        if now + self._measures.seconds_to_first_event(job) > job.abandon_at:
             return False
         self._probed_at = now
         return True
 
     def is_hopeless(self, job: Job, now: float) -> bool:
         """Return whether nothing would come of a request any more."""
-        if job.deadline < now + self._measures.shortest_life(job):
+        if job.deadline < now + self._measures.min_total_seconds(job):
             return True
-        first_at = now + self._measures.until_first(job)
+        first_at = now + self._measures.seconds_to_first_event(job)
         return not job.is_continuation and job.abandon_at < first_at
 
     def _ranking(self, now: float) -> collections.abc.Callable[[Job], Rank]:
         def rank(job: Job) -> Rank:
             if job.is_continuation:
                 return 0, 0, job.arrived_at
-            late = job.start_deadline < now + self._measures.until_first(job)
+            late = (
+                job.start_deadline
+                < now + self._measures.seconds_to_first_event(job)
+            )
             if job.is_late or late:
                 turn = 4 if job.is_retry else 5
                 return turn, job.priority, job.abandon_at
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -148,7 +148,7 @@
                         told.delay,
                         told.alone,
                         told.reads,
-                        told.slack or figures.FIRST_SLACK,
+                        told.slack or figures.INITIAL_SLACK_S,
                         told.pairs,
                     )
                 )
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -721,14 +721,14 @@
     of four prefill engines make answers.
     """
     source = random.Random(4)
-    known = figures.Measures()
+    known = figures.Estimator()
     for number in range(200):
         seconds = 0.1
         if number % 4 == 1:
             seconds = 0.005
         elif number % 4 == 2:
             seconds = 0.1 + 0.1 * source.random()
-        known.note_prefill(5000, seconds)
+        known.record_prefill(5000, seconds)
         if number >= 20:
             assert 40_000 < known.figures.rate < 65_000, number
 
@@ -744,7 +744,7 @@
     for _ in range(300):
         length = math.exp(source.gauss(math.log(3000), 0.4))
         hint = length * math.exp(source.gauss(0, 0.8))
-        known.learn(int(hint), int(length))
+        known.add_sample(int(hint), int(length))
     usual = known.predict(0, 100_000)
     assert 2700 < usual < 3700
     assert usual < known.predict(9000, 100_000) < 6000
--- a/galenahatch/test/test_load.py
+++ b/galenahatch/test/test_load.py
@@ -95,7 +95,7 @@
             seconds = 0.005
         elif number % 4 == 3:
             seconds += 0.1 * source.random()
-        line = known.learn(tokens, seconds, line)
+        line = known.add_sample(tokens, seconds, line)
     assert line.seconds(5000) == pytest.approx(delay + 0.09, rel=0.25)
     if delay >= 0.1:
         assert line.rate == pytest.approx(55_555, rel=0.5)
@@ -108,11 +108,11 @@
     the first result comes after 0.75 s, the true time is 0.19 s.
     """
     known = latency.Latency()
-    first = latency.Line(0.0, figures.FIRST_RATE)
-    line = known.learn(5200, 0.75, first)
+    first = latency.Line(0.0, figures.INITIAL_PREFILL_RATE)
+    line = known.add_sample(5200, 0.75, first)
     assert line.seconds(5200) < 0.2
     for _ in range(2):
-        line = known.learn(5200, 0.19, line)
+        line = known.add_sample(5200, 0.19, line)
     assert line.seconds(5200) == pytest.approx(0.19)
 
 
@@ -154,11 +154,11 @@
     It is some ms here; 0.15 s more would refuse a sixth of those that can
     start in time.
     """
-    measures = figures.Measures()
-    assert measures.figures.slack == figures.FIRST_SLACK
+    measures = figures.Estimator()
+    assert measures.figures.slack == figures.INITIAL_SLACK_S
     for _ in range(20):
-        measures.note_start(0.02)
-    measures.note_start(0.9)
+        measures.record_start(0.02)
+    measures.record_start(0.9)
     assert measures.figures.slack == pytest.approx(0.02)
 
 
@@ -221,15 +221,15 @@
     Its first prompts wait behind those that it does not know of: taken for
     the rate of engines without a delay, two decode engines were given up.
     """
-    measures = figures.Measures()
+    measures = figures.Estimator()
     told = figures.Figures(rate=54_000.0, prompt=5200, seen=150, reads=60)
     assert measures.adopt(told)
     for _ in range(5):
-        measures.note_prefill(5200, 0.27)
+        measures.record_prefill(5200, 0.27)
     assert measures.figures.rate == 54_000.0
     for number in range(40):
         tokens = 3000 + 100 * number
-        measures.note_prefill(tokens, tokens / 50_000)
+        measures.record_prefill(tokens, tokens / 50_000)
     assert measures.figures.rate == pytest.approx(50_000, rel=0.1)
 
 
