--- a/bench/dispatching.py
+++ b/bench/dispatching.py
@@ -414,7 +414,9 @@
             self._report(name, upstreams.Stage.DECODE, now)
         for upstream, stage in self._owner.plan_stage_changes(now):
             back_at = now + self._kind.switch
-            self._owner.engines.changing(upstream.id, stage, back_at + 8)
+            self._owner.engines.record_stage_order(
+                upstream.id, stage, back_at + 8
+            )
             self.changes.append(now)
             name = str(upstream.id)
             self._idle_at.pop(name, None)
@@ -425,7 +427,7 @@
         """Have an engine tell its stage, as its report does."""
         decode = self._decodes.get(name)
         used = int(decode.used) if decode is not None else 0
-        self._owner.engines.observe(
+        self._owner.engines.record_report(
             ids.UpstreamId(name), used, stage, False, now
         )
 
--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -48,9 +48,9 @@
     def __init__(
         self,
         pool: pools.Pool,
-        queue: waiting.Waiting,
+        queue: waiting.WaitQueue,
         forecast: forecasts.Forecast,
-        returns: returns_module.Returns,
+        returns: returns_module.RetrySchedule,
         division: divisions.Rebalancer,
         limiter: ratelimits.Limiter,
     ) -> None:
@@ -85,7 +85,7 @@
 
     def is_limited(self, job: Job, now: float) -> bool:
         """Return whether the wishes of engines let no run start in time."""
-        wait = self._until_room(job, self._returns.due(now), now)
+        wait = self._until_room(job, self._returns.due_count(now), now)
         return wait > 0 and now + wait > job.start_deadline
 
     def keep_or_refuse(
@@ -97,9 +97,9 @@
         if job.is_committed:
             return None
         wait = _CAUTION * self._forecast.predict_wait(job, 1, now)
-        if now + wait > waiting.limit(job):
+        if now + wait > waiting.first_event_limit(job):
             return self.keep_late(job, wait, now)
-        self._queue.keep(job)
+        self._queue.commit(job)
         return None
 
     def keep_late(
@@ -112,14 +112,14 @@
         """
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
-        owed = 1 + self._returns.due(now)
+        owed = 1 + self._returns.due_count(now)
         late = self._forecast.predict_late_wait(job, owed, now)
         is_in_vain = now + late > job.abandon_at
-        if is_in_vain and not self._queue.is_probe(job, now):
+        if is_in_vain and not self._queue.take_probe(job, now):
             return self.refuse(
                 job, self._forecast.describe_refusal(job, wait), now
             )
-        self._queue.keep(job, is_late=True)
+        self._queue.commit(job, is_late=True)
         return None
 
     def refuse(self, job: Job, why: str, now: float) -> generations.Refused:
@@ -131,12 +131,12 @@
         until_room = max(
             self._until_room(job, 0, now),
             min(
-                self._until_room(job, self._returns.promised, now),
+                self._until_room(job, self._returns.outstanding, now),
                 job.deadline - now,
             ),
         )
-        queued = max(queued, self._pool.next_trial(now), until_room)
-        wait = self._returns.promise(
+        queued = max(queued, self._pool.seconds_to_next_trial(now), until_room)
+        wait = self._returns.schedule(
             job.fingerprint,
             self._forecast.spare_rate(now),
             queued,
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -79,8 +79,8 @@
         self._limiter = limiter
         self._pool = pool.Pool(capacity, slots, limiter)
         self._measures = figures.Estimator()
-        self._returns = returns.Returns()
-        self._queue = waiting.Waiting(self._measures)
+        self._returns = returns.RetrySchedule()
+        self._queue = waiting.WaitQueue(self._measures)
         self._forecast = forecast.Forecast(
             self._pool, self._measures, self._queue
         )
@@ -162,7 +162,7 @@
 
     def submit(self, job: Job, now: float) -> generations.Decision | None:
         """Take a request; return a decision if it is refused at once."""
-        first_at = self._returns.came(job.fingerprint)
+        first_at = self._returns.record_arrival(job.fingerprint)
         returned = first_at is not None
         output = self._measures.lengths.predict(
             job.output_hint, job.max_output
@@ -184,9 +184,9 @@
         if not job.is_continuation:
             if self._admission.is_limited(job, now):
                 return self._admission.refuse(job, 'engines_hold_back', now)
-            owed = 1 + self._returns.due(now)
+            owed = 1 + self._returns.due_count(now)
             wait = self._forecast.predict_wait(job, owed, now)
-            if now + wait > waiting.limit(job):
+            if now + wait > waiting.first_event_limit(job):
                 return self._admission.keep_late(job, wait, now)
         self._queue.add(job)
         return None
@@ -201,7 +201,7 @@
         lacks = 0
         for job in self._queue.in_order(now):
             decision: generations.Decision | None = None
-            if self._queue.is_hopeless(job, now):
+            if self._queue.cannot_finish(job, now):
                 decision = self._admission.refuse(job, 'no_time_left', now)
             elif lacks < forecast.MAX_JOBS_CHECKED:
                 found = self._place(job, now)
@@ -209,9 +209,9 @@
                     decision = found
                 else:
                     lacks += self._lacks(found, job, now)
-            is_due = waiting.is_due(job, now) or waiting.has_become_late(
+            is_due = waiting.needs_decision(
                 job, now
-            )
+            ) or waiting.has_missed_start(job, now)
             if decision is None and is_due:
                 decision = self._admission.keep_or_refuse(job, now)
             if decision is not None:
@@ -223,7 +223,9 @@
         """Return how many of those behind need not be looked at."""
         if lack is generations.Lack.MEMORY:
             return forecast.MAX_JOBS_CHECKED
-        if lack is generations.Lack.PREFILL and waiting.has_waited(job, now):
+        if lack is generations.Lack.PREFILL and waiting.is_wait_noticeable(
+            job, now
+        ):
             self._division.record_prefill_wait(now)
         return 1
 
@@ -239,11 +241,11 @@
         placement = self._placements.get(stream)
         if placement is None or placement.prefill is None:
             return
-        if placement.is_alone:
+        if placement.had_idle_prefill:
             self._measures.record_prefill(tokens, seconds)
-        placement.read_at = now
-        self._pool.answered(placement.prefill, stream, seconds, now)
-        alone = self._pool.read(
+        placement.prefilled_at = now
+        self._pool.record_result(placement.prefill, stream, seconds, now)
+        alone = self._pool.record_overlap(
             placement.prefill,
             placement.placed_at,
             tokens,
@@ -260,10 +262,10 @@
         placement = self._placements.get(stream)
         if placement is not None:
             placement.started_at = now
-            if placement.read_at is not None:
-                self._measures.record_start(now - placement.read_at)
-            self._pool.alive(placement.engine)
-            self._pool.alive(placement.prefill)
+            if placement.prefilled_at is not None:
+                self._measures.record_start(now - placement.prefilled_at)
+            self._pool.record_first_event(placement.engine)
+            self._pool.record_first_event(placement.prefill)
         run = self._run(stream)
         if run is not None:
             run.starts_at = now
@@ -281,11 +283,11 @@
         """
         placement = self._placements.get(stream)
         if placement is not None and tokens:
-            self._measures.lengths.add_sample(placement.hint, tokens)
-            self._pool.learn_spread(self._measures.lengths.spread)
+            self._measures.lengths.add_sample(placement.output_hint, tokens)
+            self._pool.set_spread(self._measures.lengths.spread)
             decode = self._pool.decodes.get(placement.engine)
             if decode is not None:
-                decode.health.worked()
+                decode.health.record_success()
                 decode.memory.record_end(stream, tokens, seconds, now)
         self._forget(stream, now)
         self._queue.remove(stream)
@@ -317,12 +319,12 @@
             if known is None or known.entry != entry or stream in current:
                 continue
             # Younger than the list may be: it was on its way to the VM.
-            if now - placement.told_at > _ON_ITS_WAY:
+            if now - placement.confirmed_at > _ON_ITS_WAY:
                 self._forget(stream, now)
 
     def expire_runs(self, now: float) -> None:
         """Forget runs whose VM has been silent for long."""
-        for stream in placements.lapsed(self._placements, now):
+        for stream in placements.expired(self._placements, now):
             self._forget(stream, now)
 
     # Placement.
@@ -332,7 +334,7 @@
     ) -> generations.Placed | generations.Lack:
         engines = self._pool.decodes, self._pool.prefills
         runs = self._placements.values()
-        apart = placements.apart(job, runs, *engines, now)
+        apart = placements.separate_suspects(job, runs, *engines, now)
         if apart is None:
             return generations.Lack.TRIAL
         job, prefill = apart, None
@@ -346,7 +348,7 @@
             prefill = None
         ready = now + self._measures.seconds_to_first_event(job)
         if prefill is None and not job.is_prefilled:
-            ready += reading.seconds(job, self._measures)
+            ready += reading.prefill_seconds(job, self._measures)
         decode = self._pool.choose_decode(job, prefill, ready, now)
         if decode is None:
             if prefill is None and not job.is_prefilled:
@@ -367,10 +369,10 @@
     ) -> generations.Placed:
         """Note where a request goes."""
         chosen = prefill.upstream.id if prefill is not None else None
-        self._returns.served(job.fingerprint)
+        self._returns.record_placement(job.fingerprint)
         self._measures.record_placement(now)
         decode.memory.add(job.make_run(ready))
-        decode.health.given(now)
+        decode.health.record_run(now)
         placement = placements.Placement(
             decode.upstream.id,
             0 if job.is_continuation else job.output_hint,
@@ -381,15 +383,17 @@
         )
         self._placements[job.stream] = placement
         if prefill is not None:
-            placement.is_alone = not prefill.unread
-            prefill.give(
+            placement.had_idle_prefill = not prefill.pending
+            prefill.assign(
                 job.stream,
                 self._measures.prefill_seconds(job.prompt_tokens),
                 self._measures.prefill_busy_seconds(job.prompt_tokens),
                 now,
             )
         elif not job.is_prefilled:
-            decode.reads_until = now + reading.occupied(job, self._measures)
+            decode.prefilling_until = now + reading.busy_seconds(
+                job, self._measures
+            )
         why = (
             f'load={decode.memory.load(now):.2f} '
             f'runs={len(decode.memory.runs)} '
@@ -408,12 +412,12 @@
     def _told(self, stream: ids.StreamId, now: float) -> None:
         placement = self._placements.get(stream)
         if placement is not None:
-            placement.told_at = now
+            placement.confirmed_at = now
 
     def _forget(self, stream: ids.StreamId, now: float) -> None:
         placement = self._placements.pop(stream, None)
         if placement is not None and placement.prefill is not None:
-            self._pool.not_read(placement.prefill, stream)
+            self._pool.cancel_prefill(placement.prefill, stream)
         if placement is not None and placement.engine in self._pool.decodes:
             decode = self._pool.decodes[placement.engine]
             decode.memory.remove(stream, now)
--- a/galenahatch/core/division.py
+++ b/galenahatch/core/division.py
@@ -118,5 +118,5 @@
         return (
             known.figures.seen >= _LEAST_SIZES
             and known.figures.reads >= _LEAST_READS
-            and self._pool.paced >= _LEAST_PACED
+            and self._pool.paced_tokens >= _LEAST_PACED
         )
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -64,7 +64,7 @@
         self,
         pool: pools.Pool,
         measures: figures.Estimator,
-        queue: waiting.Waiting,
+        queue: waiting.WaitQueue,
     ) -> None:
         self._pool = pool
         self._measures = measures
@@ -86,12 +86,12 @@
         It may be either of what is returned, as far as it is known.
         """
         known = self._measures.figures
-        runs = self._pool.at_once(
+        runs = self._pool.concurrent_runs(
             self._measures.mean_held_tokens, known.output
         )
-        life = known.output * self._pool.full_pace(runs, known.pace)
+        life = known.output * self._pool.mean_pace_at_batch(runs, known.pace)
         life += self._measures.prefill_seconds(round(known.prompt))
-        helped = reading.mean_seconds(self._measures)
+        helped = reading.mean_prefill_seconds(self._measures)
         return [
             stages.RequestCost(read, life / runs, helped)
             for read in self._measures.prefill_busy_range()
@@ -118,7 +118,7 @@
             owed: places that are needed beside those of the ones before it.
             now: monotonic seconds.
         """
-        ahead = self._queue.ahead(job, now)
+        ahead = self._queue.jobs_ahead(job, now)
         own = self._measures.seconds_to_first_event(job)
         rate = self._ending_rate()
         work = sum(
@@ -126,7 +126,7 @@
             for other in ahead
         )
         queued = work / self._lines(rate)
-        before = max(queued, self._pool.next_trial(now))
+        before = max(queued, self._pool.seconds_to_next_trial(now))
         if not rate or self._has_room(job, ahead, now):
             return own + before
         return own + max(before, (len(ahead) + owed) / rate)
@@ -148,13 +148,13 @@
             now: monotonic seconds.
         """
         late = dataclasses.replace(job, is_committed=True, is_late=True)
-        ahead = len(self._queue.ahead(late, now))
+        ahead = len(self._queue.jobs_ahead(late, now))
         # Who comes back is expected, and owes no place to others that are.
         ahead += 1 if job.is_retry else owed
         rate = self._late_rate(job, now)
         if rate <= 0:
             return math.inf
-        wait = max(ahead / rate, self._pool.next_trial(now))
+        wait = max(ahead / rate, self._pool.seconds_to_next_trial(now))
         return self._measures.seconds_to_first_event(job) + wait
 
     def _late_rate(self, job: Job, now: float) -> float:
@@ -175,19 +175,21 @@
 
     def may_prefill_at_decode(self, job: Job, now: float) -> bool:
         """Return whether a decode engine should read a request's prompt."""
-        if not reading.is_short(job, self._measures):
+        if not reading.fits_pause(job, self._measures):
             return False
-        readers = self._pool.readers(now)
+        readers = self._pool.available_prefills(now)
         waits = len(self._queue)
-        if not reading.is_behind(job, waits, readers, self._measures):
+        if not reading.is_prefill_late(job, waits, readers, self._measures):
             return False
-        return reading.limits(readers, self._ending_rate(), self._measures)
+        return reading.is_prefill_bound(
+            readers, self._ending_rate(), self._measures
+        )
 
     def _ending_rate(self) -> float:
         """Return the runs a second that the decode engines can end."""
         known = self._measures.figures
         read = self._measures.prefill_seconds(round(known.prompt))
-        return self._pool.service_rate(
+        return self._pool.completion_rate(
             self._measures.mean_held_tokens, known.output, read
         )
 
@@ -201,14 +203,16 @@
         if not prefills:
             # Decode engines read all prompts, one after another.
             mean = self._measures.figures.prompt
-            each = reading.mean_seconds(self._measures) + reading.REST
+            each = (
+                reading.mean_prefill_seconds(self._measures) + reading.REST_S
+            )
             lines = len(
                 self._pool.decodes
             ) * self._measures.prefill_busy_seconds(mean)
             return max(lines / each, _LEAST_LINES)
-        if not reading.limits(prefills, ending, self._measures):
+        if not reading.is_prefill_bound(prefills, ending, self._measures):
             return prefills
-        return prefills + reading.LINES * len(self._pool.decodes)
+        return prefills + reading.PREFILL_EQUIVALENT * len(self._pool.decodes)
 
     def _has_room(
         self, job: Job, ahead: collections.abc.Collection[Job], now: float
--- a/galenahatch/core/modelengines.py
+++ b/galenahatch/core/modelengines.py
@@ -71,39 +71,39 @@
     """
 
     failures: int = 0
-    until: float = 0.0
+    suspended_until: float = 0.0
     unreachable: bool = False
     trial_until: float = 0.0
 
-    def failed(self, now: float, unreachable: bool = False) -> None:
+    def record_failure(self, now: float, unreachable: bool = False) -> None:
         """Note a failure."""
         self.failures += 1
         # Once unreachable, only a run that works there shows the contrary: a
         # stream that then breaks off was sent before.
         self.unreachable = self.unreachable or unreachable
         wait = _SUSPECT_FIRST * 2 ** (self.failures - 1)
-        self.until = now + min(wait, _SUSPECT_MOST)
+        self.suspended_until = now + min(wait, _SUSPECT_MOST)
 
-    def given(self, now: float) -> None:
+    def record_run(self, now: float) -> None:
         """Note a run that is sent to it."""
         if self.failures:
             self.trial_until = now + _TRIAL
-            self.until = max(self.until, self.trial_until)
+            self.suspended_until = max(self.suspended_until, self.trial_until)
 
-    def alive(self) -> None:
+    def record_first_event(self) -> None:
         """Note that a run made its first event there."""
         if self.unreachable:
-            self.worked()
+            self.record_success()
         # The next run need not wait for this one. The event may be of a run
         # from before the failure, and the engine may still break all off: so
         # neither the count nor a pause that is longer ends with it.
-        if self.until <= self.trial_until:
-            self.until = 0.0
+        if self.suspended_until <= self.trial_until:
+            self.suspended_until = 0.0
 
-    def worked(self) -> None:
+    def record_success(self) -> None:
         """Note a run that ended well there."""
         self.failures = 0
-        self.until = 0.0
+        self.suspended_until = 0.0
         self.unreachable = False
 
 
@@ -136,12 +136,12 @@
         self.upstream = upstream
         self.health = Health()
         self.idle_at = 0.0
-        self.unread: dict[ids.StreamId, _Given] = {}
+        self.pending: dict[ids.StreamId, _Given] = {}
         self._read_at = -1e9
         self._seen = 1.0
         self._seen_at = 0.0
 
-    def give(
+    def assign(
         self,
         stream: ids.StreamId,
         reading: float,
@@ -157,9 +157,9 @@
             now: monotonic seconds.
         """
         begins = max(now, self.idle_at)
-        self.unread[stream] = _Given(now, max(1e-3, begins - now + reading))
+        self.pending[stream] = _Given(now, max(1e-3, begins - now + reading))
         self.idle_at = begins + occupied * self._learnt(now)
-        self.health.given(now)
+        self.health.record_run(now)
 
     def slowness(self, now: float) -> float:
         """Return how many times as long as expected its work takes.
@@ -168,7 +168,7 @@
         that ended tells nothing any more.
         """
         seen = self._learnt(now)
-        for given in self.unread.values():
+        for given in self.pending.values():
             if now - given.at < _WAITED_FOR:
                 waited = now - given.at - _WAY
                 seen = max(seen, waited / given.expected)
@@ -180,7 +180,7 @@
         seen = 1.0 + (self._seen - 1.0) * fading
         return seen if seen > _SLOW else 1.0
 
-    def answered(
+    def record_result(
         self, stream: ids.StreamId, seconds: float, now: float
     ) -> None:
         """Note that it has read the prompt of a stream.
@@ -192,14 +192,14 @@
                 have made all engines look slow.
             now: monotonic seconds.
         """
-        given = self.unread.pop(stream, None)
+        given = self.pending.pop(stream, None)
         if given is None:
             return
         seen = max(1.0, seconds / given.expected)
         self._seen += _SLOW_WEIGHT * (seen - self._seen)
         self._seen_at = now
 
-    def read(
+    def record_overlap(
         self,
         placed_at: float,
         tokens: int,
@@ -248,7 +248,7 @@
         self.upstream = upstream
         self.health = Health()
         self.memory = memory.EngineMemory(capacity, slots, pace)
-        self.reads_until = -1e9
+        self.prefilling_until = -1e9
 
     def fits(self, run: memory.Run, now: float) -> bool:
         """Return whether one more run has room."""
--- a/galenahatch/core/placements.py
+++ b/galenahatch/core/placements.py
@@ -19,7 +19,7 @@
 from galenahatch.core import generations
 from galenahatch import ids
 
-BEGINS: typing.Final = 0.5
+STARTUP_S: typing.Final = 0.5
 """Seconds from its first event in which a run has just begun. One that goes on
 for longer is not what ends its engine."""
 _LAPSE: typing.Final = 15.0
@@ -43,34 +43,34 @@
     """
 
     engine: ids.UpstreamId
-    hint: int
-    told_at: float
+    output_hint: int
+    confirmed_at: float
     prefill: ids.UpstreamId | None = None
     placed_at: float = 0.0
-    is_alone: bool = False
-    read_at: float | None = None
+    had_idle_prefill: bool = False
+    prefilled_at: float | None = None
     is_suspect: bool = False
     started_at: float | None = None
 
-    def is_tried(self, now: float) -> bool:
+    def is_on_trial(self, now: float) -> bool:
         """Return whether its engine may still end under a suspect."""
         if self.started_at is None:
             return self.is_suspect and now < self.placed_at + _STARTS
-        return self.is_suspect and now < self.started_at + BEGINS
+        return self.is_suspect and now < self.started_at + STARTUP_S
 
 
-def lapsed(
+def expired(
     placed: collections.abc.Mapping[ids.StreamId, Placement], now: float
 ) -> list[ids.StreamId]:
     """Return the runs whose VM has been silent for long."""
     return [
         stream
         for stream, placement in placed.items()
-        if now - placement.told_at > _LAPSE
+        if now - placement.confirmed_at > _LAPSE
     ]
 
 
-def apart(
+def separate_suspects(
     job: generations.Job,
     placed: collections.abc.Iterable[Placement],
     decodes: collections.abc.Iterable[ids.UpstreamId],
@@ -92,12 +92,12 @@
     """
     if not job.is_suspect:
         return job
-    tried = [one for one in placed if one.is_tried(now)]
+    tried = [one for one in placed if one.is_on_trial(now)]
     taken = {one.engine for one in tried}
     reading = {
         one.prefill
         for one in tried
-        if one.prefill is not None and one.read_at is None
+        if one.prefill is not None and one.prefilled_at is None
     }
     free = set(decodes) - taken
     if taken and not free:
--- a/galenahatch/core/pool.py
+++ b/galenahatch/core/pool.py
@@ -74,7 +74,7 @@
             ids.UpstreamId, tuple[upstreams.Stage, float]
         ] = {}
 
-    def learn_spread(self, spread: float) -> None:
+    def set_spread(self, spread: float) -> None:
         """Take how far the lengths of answers lie from predictions."""
         self.spread = spread
         for engine in self.decodes.values():
@@ -149,7 +149,7 @@
             found = self.prefills.get(key) or self.decodes.get(key)
             if found is not None:
                 found.health = health
-            if found is not None or health.until + _REMEMBERED < now:
+            if found is not None or health.suspended_until + _REMEMBERED < now:
                 del self._healths[key]
 
     def _as_told(
@@ -180,7 +180,7 @@
             decode.memory.spread = self.spread
             self.decodes[engine.id] = decode
 
-    def observe(
+    def record_report(
         self,
         engine: ids.UpstreamId,
         used: int,
@@ -202,7 +202,7 @@
         if decode is not None:
             decode.memory.record_usage(used, now)
 
-    def changing(
+    def record_stage_order(
         self, engine: ids.UpstreamId, stage: upstreams.Stage, until: float
     ) -> None:
         """Note that an engine was ordered to change its stage.
@@ -218,43 +218,45 @@
         """Return whether an engine was ordered to change its stage."""
         return engine in self._changing
 
-    def failed(
+    def record_failure(
         self, engine: ids.UpstreamId, now: float, unreachable: bool = False
     ) -> None:
         """Note that an engine failed a request."""
         found = self.prefills.get(engine) or self.decodes.get(engine)
         if found is not None:
-            found.health.failed(now, unreachable)
+            found.health.record_failure(now, unreachable)
 
-    def alive(self, engine: ids.UpstreamId | None) -> None:
+    def record_first_event(self, engine: ids.UpstreamId | None) -> None:
         """Note that a run came to its first event with an engine's help."""
         if engine in self.prefills:
             # Its part is done, and done well.
-            self.prefills[engine].health.worked()
+            self.prefills[engine].health.record_success()
         elif engine in self.decodes:
-            self.decodes[engine].health.alive()
+            self.decodes[engine].health.record_first_event()
 
-    def fetched(self, engine: ids.UpstreamId) -> None:
+    def record_transfer(self, engine: ids.UpstreamId) -> None:
         """Note that a result of a prefill engine was taken over."""
         found = self.prefills.get(engine)
         if found is not None:
-            found.health.worked()
+            found.health.record_success()
 
     def mean_pace(self, otherwise: float) -> float:
         """Return the mean seconds for a token."""
         known = [engine.memory.pace for engine in self.decodes.values()]
         return sum(known) / len(known) if known else otherwise
 
-    def full_pace(self, runs: float, otherwise: float) -> float:
+    def mean_pace_at_batch(self, runs: float, otherwise: float) -> float:
         """Return the mean seconds for a token at engines with some runs."""
         known = [e.memory.pace_at_batch(runs) for e in self.decodes.values()]
         return sum(known) / len(known) if known else otherwise
 
-    def readers(self, now: float) -> int:
+    def available_prefills(self, now: float) -> int:
         """Return how many prefill engines are not left alone."""
-        return sum(e.health.until <= now for e in self.prefills.values())
+        return sum(
+            e.health.suspended_until <= now for e in self.prefills.values()
+        )
 
-    def answered(
+    def record_result(
         self,
         engine: ids.UpstreamId,
         stream: ids.StreamId,
@@ -264,15 +266,17 @@
         """Note how long a prefill engine took to read a prompt."""
         found = self.prefills.get(engine)
         if found is not None:
-            found.answered(stream, seconds, now)
+            found.record_result(stream, seconds, now)
 
-    def not_read(self, engine: ids.UpstreamId, stream: ids.StreamId) -> None:
+    def cancel_prefill(
+        self, engine: ids.UpstreamId, stream: ids.StreamId
+    ) -> None:
         """Note that a prefill engine is not to read for a stream any more."""
         found = self.prefills.get(engine)
         if found is not None:
-            found.unread.pop(stream, None)
+            found.pending.pop(stream, None)
 
-    def read(
+    def record_overlap(
         self,
         engine: ids.UpstreamId,
         placed_at: float,
@@ -285,10 +289,10 @@
         found = self.prefills.get(engine)
         if found is None:
             return None
-        return found.read(placed_at, tokens, line, alone, now)
+        return found.record_overlap(placed_at, tokens, line, alone, now)
 
     @property
-    def paced(self) -> int:
+    def paced_tokens(self) -> int:
         """Tokens from which the pace was measured.
 
         Those of engines whose entries have lapsed since count as well: they
@@ -317,7 +321,7 @@
         found = [
             engine
             for engine in self.prefills.values()
-            if engine.health.until <= now
+            if engine.health.suspended_until <= now
             and engine.upstream.id not in job.avoid
             and not job.is_paused(engine.upstream.id, now)
             and self._limiter.may_take(engine.upstream.id, now)
@@ -327,7 +331,7 @@
             engine: modelengines.PrefillEngine,
         ) -> tuple[float, bool, bool]:
             near = engine.upstream.data_centre == job.data_centre
-            tells = explore and bool(engine.unread)
+            tells = explore and bool(engine.pending)
             delayed = reading * (engine.slowness(now) - 1.0)
             idle_at = max(now, engine.idle_at)
             return idle_at + delayed, not tells, not near
@@ -355,7 +359,7 @@
             engine
             for engine in self.usable_decodes(job, now)
             if engine.fits(run, now)
-            and not (reads and engine.reads_until > now)
+            and not (reads and engine.prefilling_until > now)
             and self._limiter.may_take(engine.upstream.id, now)
         ]
 
@@ -381,18 +385,22 @@
             if not job.is_paused(engine.upstream.id, now)
         ]
         usable = [e for e in free if e.upstream.id not in job.avoid] or free
-        well = [engine for engine in usable if engine.health.until <= now]
+        well = [
+            engine for engine in usable if engine.health.suspended_until <= now
+        ]
         return well or [e for e in usable if not e.health.unreachable]
 
-    def next_trial(self, now: float) -> float:
+    def seconds_to_next_trial(self, now: float) -> float:
         """Return the seconds until a decode engine may be given a run."""
         waits = (
-            engine.health.until - now if engine.health.unreachable else 0.0
+            engine.health.suspended_until - now
+            if engine.health.unreachable
+            else 0.0
             for engine in self.decodes.values()
         )
         return max(0.0, min(waits, default=0.0))
 
-    def at_once(self, held: float, output: float) -> float:
+    def concurrent_runs(self, held: float, output: float) -> float:
         """Return the runs that a decode engine holds at the same time.
 
         Args:
@@ -407,7 +415,9 @@
         )
         return max(1.0, min(self.slots, (self.capacity - margin) / held))
 
-    def service_rate(self, held: float, output: float, read: float) -> float:
+    def completion_rate(
+        self, held: float, output: float, read: float
+    ) -> float:
         """Return the runs a second that the decode engines can end.
 
         Args:
@@ -417,7 +427,7 @@
         """
         if held <= 0:
             return 0.0
-        runs = self.at_once(held, output)
+        runs = self.concurrent_runs(held, output)
         return sum(
             runs
             / (max(0.1, output * engine.memory.pace_at_batch(runs)) + read)
--- a/galenahatch/core/reading.py
+++ b/galenahatch/core/reading.py
@@ -30,7 +30,7 @@
 
 _SLOWER: typing.Final = 2.0
 """Times that a decode engine takes longer for a prompt."""
-REST: typing.Final = 0.08
+REST_S: typing.Final = 0.08
 """Seconds between two readings of an engine, in which its runs make an
 event: two within one event's time made pauses of 0.5 to 0.9 s for all of its
 runs, one made 0.2 s."""
@@ -40,33 +40,37 @@
 _BEHIND: typing.Final = 0.25
 """Part of its objective that a request would have to wait for the prefill
 engines, from which on decode engines help them."""
-LINES: typing.Final = 0.15
+PREFILL_EQUIVALENT: typing.Final = 0.15
 """Prefill engines that a decode engine stands for while it helps: it reads a
 prompt in 0.2 s and rests, where they take 0.1 s, and half of the prompts are
 short enough."""
 
 
-def seconds(job: generations.Job, measures: figures.Estimator) -> float:
+def prefill_seconds(
+    job: generations.Job, measures: figures.Estimator
+) -> float:
     """Return how long a decode engine reads a prompt."""
     return _SLOWER * job.prompt_tokens / measures.figures.rate
 
 
-def occupied(job: generations.Job, measures: figures.Estimator) -> float:
+def busy_seconds(job: generations.Job, measures: figures.Estimator) -> float:
     """Return the seconds in which it reads no other prompt."""
-    return seconds(job, measures) + REST
+    return prefill_seconds(job, measures) + REST_S
 
 
-def mean_seconds(measures: figures.Estimator) -> float:
+def mean_prefill_seconds(measures: figures.Estimator) -> float:
     """Return how long a decode engine reads a prompt of mean length."""
     return _SLOWER * measures.figures.prompt / measures.figures.rate
 
 
-def is_short(job: generations.Job, measures: figures.Estimator) -> bool:
+def fits_pause(job: generations.Job, measures: figures.Estimator) -> bool:
     """Return whether a reading fits into the pause that is allowed."""
-    return seconds(job, measures) <= _PAUSE_SHARE * job.max_pause
+    return prefill_seconds(job, measures) <= _PAUSE_SHARE * job.max_pause
 
 
-def limits(prefills: int, ending: float, measures: figures.Estimator) -> bool:
+def is_prefill_bound(
+    prefills: int, ending: float, measures: figures.Estimator
+) -> bool:
     """Return whether prefill engines, and not memory, limit what is served.
 
     Args:
@@ -79,7 +83,7 @@
     )
 
 
-def is_behind(
+def is_prefill_late(
     job: generations.Job,
     waiting: int,
     prefills: int,
--- a/galenahatch/core/returns.py
+++ b/galenahatch/core/returns.py
@@ -48,13 +48,13 @@
     due: float | None = None
 
 
-class Returns:
+class RetrySchedule:
     """Refused callers that are expected back."""
 
     def __init__(self) -> None:
         self._callers: dict[str, _Caller] = {}
 
-    def came(self, subject: str) -> float | None:
+    def record_arrival(self, subject: str) -> float | None:
         """Note that a request came.
 
         Returns:
@@ -66,16 +66,16 @@
         caller.due = None
         return caller.first_at
 
-    def served(self, subject: str) -> None:
+    def record_placement(self, subject: str) -> None:
         """Note that a request has its engines."""
         self._callers.pop(subject, None)
 
-    def due(self, now: float) -> int:
+    def due_count(self, now: float) -> int:
         """Return how many are expected just now."""
         return sum(abs(due - now) < _SPREAD for due in self._dues())
 
     @property
-    def promised(self) -> int:
+    def outstanding(self) -> int:
         """How many were told when to come, and have not come."""
         return len(self._dues())
 
@@ -83,7 +83,7 @@
         callers = self._callers.values()
         return [caller.due for caller in callers if caller.due is not None]
 
-    def promise(
+    def schedule(
         self,
         subject: str,
         spare: float,
--- a/galenahatch/core/waiting.py
+++ b/galenahatch/core/waiting.py
@@ -42,7 +42,7 @@
 Rank = tuple[int, int, float]
 
 
-def limit(job: Job) -> float:
+def first_event_limit(job: Job) -> float:
     """Return until when a request's first event must be expected.
 
     One that an engine has failed already is served late if need be.
@@ -50,16 +50,16 @@
     return job.abandon_at if job.avoid else job.start_deadline
 
 
-def is_due(job: Job, now: float) -> bool:
+def needs_decision(job: Job, now: float) -> bool:
     """Return whether a request is to be kept or refused now."""
     return (
         not job.is_continuation
         and not job.is_committed
-        and has_waited(job, now)
+        and is_wait_noticeable(job, now)
     )
 
 
-def has_become_late(job: Job, now: float) -> bool:
+def has_missed_start(job: Job, now: float) -> bool:
     """Return whether a request that is kept can't start in time any more."""
     return (
         job.is_committed
@@ -68,13 +68,13 @@
     )
 
 
-def has_waited(job: Job, now: float) -> bool:
+def is_wait_noticeable(job: Job, now: float) -> bool:
     """Return whether a request has waited for longer than costs nothing."""
     objective = max(0.0, job.start_deadline - job.arrived_at)
     return now >= job.arrived_at + _UNDECIDED * objective
 
 
-class Waiting:
+class WaitQueue:
     """The requests of one service that wait.
 
     Args:
@@ -97,7 +97,7 @@
         """Forget a request; return it if it was waiting."""
         return self._jobs.pop(stream, None)
 
-    def keep(self, job: Job, is_late: bool = False) -> None:
+    def commit(self, job: Job, is_late: bool = False) -> None:
         """Note that a request is to be served, in time or late."""
         self._jobs[job.stream] = dataclasses.replace(
             job, is_committed=True, is_late=is_late
@@ -107,12 +107,12 @@
         """Return the requests in the order in which they are placed."""
         return sorted(self._jobs.values(), key=self._ranking(now))
 
-    def ahead(self, job: Job, now: float) -> list[Job]:
+    def jobs_ahead(self, job: Job, now: float) -> list[Job]:
         """Return the requests that are placed before another."""
         rank = self._ranking(now)
         return [j for j in self._jobs.values() if rank(j) < rank(job)]
 
-    def is_probe(self, job: Job, now: float) -> bool:
+    def take_probe(self, job: Job, now: float) -> bool:
         """Return whether a request is kept though there seems to be no room.
 
         One that has no further attempt, with nobody before it, every few
@@ -127,7 +127,7 @@
         self._probed_at = now
         return True
 
-    def is_hopeless(self, job: Job, now: float) -> bool:
+    def cannot_finish(self, job: Job, now: float) -> bool:
         """Return whether nothing would come of a request any more."""
         if job.deadline < now + self._measures.min_total_seconds(job):
             return True
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -385,7 +385,7 @@
         relay = self._relay
         if (
             relay.run_count
-            and clock.now() - relay.run_first_at > placements.BEGINS
+            and clock.now() - relay.run_first_at > placements.STARTUP_S
         ):
             self._ran_on = True
         return prefill.Again(
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -158,7 +158,7 @@
         if spec is None or spec.engine is None:
             return
         lost_at = clock.now() + spec.engine.switch + _LOST_AFTER
-        dispatcher.engines.changing(engine.id, stage, lost_at)
+        dispatcher.engines.record_stage_order(engine.id, stage, lost_at)
         other = self._mesh.hearing()
         if other is not None and not self._directory.hears_store:
             _log.info('Order passed on.', engine=engine.id, member=other)
@@ -174,7 +174,7 @@
         stage: upstreams.Stage,
     ) -> None:
         """Use an engine as it is, and plan again after a while."""
-        dispatcher.engines.changing(engine, stage, clock.now())
+        dispatcher.engines.record_stage_order(engine, stage, clock.now())
         dispatcher.rebalancer.reset_plan()
         self._pause_until = clock.now() + _AFTER_REFUSAL
 
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -234,11 +234,11 @@
                 message.stream, message.tokens, message.seconds, now
             )
             for engine in message.failed:
-                dispatcher.engines.failed(
+                dispatcher.engines.record_failure(
                     engine, now, engine == message.unreachable
                 )
             if message.fetched:
-                dispatcher.engines.fetched(message.fetched)
+                dispatcher.engines.record_transfer(message.fetched)
 
     def _dispatcher(
         self, service: ids.ServiceName
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -126,6 +126,6 @@
             if later is None:
                 return
             engine = later.id
-        dispatcher.engines.observe(
+        dispatcher.engines.record_report(
             engine, report.kv_used, report.stage, report.busy, clock.now()
         )
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -485,7 +485,7 @@
 def test_failed_engines_are_left_alone() -> None:
     """After a failure the other engine is used, then the first again."""
     owner = _dispatcher(decodes=2)
-    owner.engines.failed(ids.UpstreamId('d0'), 0.0)
+    owner.engines.record_failure(ids.UpstreamId('d0'), 0.0)
     owner.submit(_job(1, 0.0), 0.0)
     (placed,) = owner.decide(0.0)
     assert isinstance(placed, generations.Placed)
@@ -503,7 +503,9 @@
     """
     owner = _dispatcher(prefills=2, decodes=2)
     for name in ('d0', 'd1'):
-        owner.engines.failed(ids.UpstreamId(name), 0.0, unreachable=True)
+        owner.engines.record_failure(
+            ids.UpstreamId(name), 0.0, unreachable=True
+        )
     gone_soon = _job(1, 0.0, patience=0.4, abandon_at=0.45)
     refused = owner.submit(gone_soon, 0.0)
     assert isinstance(refused, generations.Refused)
@@ -521,7 +523,7 @@
 def test_failed_engines_are_the_way_out() -> None:
     """If all failed but can be reached, they are used all the same."""
     owner = _dispatcher(decodes=1)
-    owner.engines.failed(ids.UpstreamId('d0'), 0.0)
+    owner.engines.record_failure(ids.UpstreamId('d0'), 0.0)
     owner.submit(_job(1, 0.0), 0.0)
     assert owner.decide(0.0)
 
@@ -562,7 +564,7 @@
     """An engine that changes its stage is used again in the new one."""
     owner = _dispatcher(prefills=2, decodes=1)
     moved = ids.UpstreamId('p1')
-    owner.engines.changing(moved, upstreams.Stage.DECODE, 10.0)
+    owner.engines.record_stage_order(moved, upstreams.Stage.DECODE, 10.0)
     engines = [
         _engine('p0', upstreams.Stage.PREFILL),
         _engine('p1', upstreams.Stage.PREFILL),
@@ -574,7 +576,7 @@
     places = [owner.decide(1.0 + 0.2 * n) for n in range(3)]
     used = {p.decode for step in places for p in step if hasattr(p, 'decode')}
     assert used == {'d0'}
-    owner.engines.observe(moved, 0, upstreams.Stage.DECODE, False, 2.0)
+    owner.engines.record_report(moved, 0, upstreams.Stage.DECODE, False, 2.0)
     owner.set_engines(engines, (), 2.0)
     owner.submit(_job(7, 2.0, patience=3.5), 2.0)
     (placed,) = owner.decide(2.0)
@@ -589,11 +591,11 @@
     for name, stage in stages_of.items():
         assert not owner.engines.is_settled(1.0)
         is_busy = name == 'p1'
-        owner.engines.observe(
+        owner.engines.record_report(
             ids.UpstreamId(name), 0, upstreams.Stage[stage], is_busy, 1.0
         )
     assert not owner.engines.is_settled(1.0), 'one is about to change'
-    owner.engines.observe(
+    owner.engines.record_report(
         ids.UpstreamId('p1'), 0, upstreams.Stage.DECODE, False, 2.0
     )
     assert owner.engines.is_settled(2.0)
@@ -603,7 +605,9 @@
 def test_engine_that_ends_while_it_changes_holds_up_nothing() -> None:
     """A crash during a change of stage does not forbid the next change."""
     owner = _dispatcher(prefills=2, decodes=1)
-    owner.engines.changing(ids.UpstreamId('p1'), upstreams.Stage.DECODE, 20.0)
+    owner.engines.record_stage_order(
+        ids.UpstreamId('p1'), upstreams.Stage.DECODE, 20.0
+    )
     left = [
         _engine('p0', upstreams.Stage.PREFILL),
         _engine('d0', upstreams.Stage.DECODE),
@@ -617,8 +621,8 @@
     """Neither a stream sent before nor a lapsed entry makes it a sound one."""
     owner = _dispatcher(prefills=1, decodes=2)
     dark = ids.UpstreamId('d0')
-    owner.engines.failed(dark, 0.0, unreachable=True)
-    owner.engines.failed(dark, 0.1)
+    owner.engines.record_failure(dark, 0.0, unreachable=True)
+    owner.engines.record_failure(dark, 0.1)
     every = [
         _engine('p0', upstreams.Stage.PREFILL),
         _engine('d0', upstreams.Stage.DECODE),
@@ -806,8 +810,8 @@
     owner.submit(_job(1, 0.0), 0.0)
     (placed,) = owner.decide(0.0)
     owner.release(placed.job.stream, 3000, 3.0, 3.0)
-    measured = owner.engines.paced
+    measured = owner.engines.paced_tokens
     assert measured == 3000
     owner.set_engines([], (), 4.0)
     owner.set_engines([_engine('d0', upstreams.Stage.DECODE)], (), 5.0)
-    assert owner.engines.paced == measured
+    assert owner.engines.paced_tokens == measured
--- a/galenahatch/test/test_incarnations.py
+++ b/galenahatch/test/test_incarnations.py
@@ -357,11 +357,13 @@
     made.set_engines([_entry(5), prefill], (), 0.0)
     first = _place_all(made, 0, 0.0)
     assert first and {d.decode for d in first} == {_id(5)}
-    made.engines.failed(_id(5), 0.5, unreachable=True)
+    made.engines.record_failure(_id(5), 0.5, unreachable=True)
     made.set_engines([_entry(9), prefill], (), 0.6)
     engine = made.engines.decodes[_id(9)]
     assert not engine.memory.runs
-    assert engine.health.until == 0.0 and not engine.health.unreachable
+    assert (
+        engine.health.suspended_until == 0.0 and not engine.health.unreachable
+    )
     second = _place_all(made, 100, 0.6)
     assert len(second) >= len(first)
     assert {d.decode for d in second} == {_id(9)}
@@ -374,12 +376,14 @@
     made.set_engines([_entry(5), prefill], (), 0.0)
     (first, *_) = _place_all(made, 0, 0.0)
     made.set_engines([_entry(9), prefill], (), 0.6)
-    made.engines.observe(_id(5), 19_000, upstreams.Stage.PREFILL, True, 0.7)
-    made.engines.failed(_id(5), 0.7)
+    made.engines.record_report(
+        _id(5), 19_000, upstreams.Stage.PREFILL, True, 0.7
+    )
+    made.engines.record_failure(_id(5), 0.7)
     made.release(first.job.stream, 0, 0.0, 0.7)
     made.set_engines([_entry(9), prefill], (), 0.8)
     engine = made.engines.decodes[_id(9)]
-    assert engine.health.until == 0.0
+    assert engine.health.suspended_until == 0.0
     assert engine.memory.load(0.8) == 0.0
 
 
@@ -387,7 +391,7 @@
     """A new start is not waited for to carry out an order of before."""
     made = dispatch.Dispatcher(capacity=20_000, slots=8)
     made.set_engines([_entry(5)], (), 0.0)
-    made.engines.changing(_id(5), upstreams.Stage.PREFILL, 60.0)
+    made.engines.record_stage_order(_id(5), upstreams.Stage.PREFILL, 60.0)
     made.set_engines([_entry(9)], (), 1.0)
     assert not made.engines.is_changing
     assert _id(9) in made.engines.decodes
--- a/galenahatch/test/test_load.py
+++ b/galenahatch/test/test_load.py
@@ -355,21 +355,21 @@
     engine = modelengines.PrefillEngine(_prefill('p0'))
     for number in range(4):
         stream = ids.StreamId(f's{number}')
-        engine.give(stream, 0.2, 0.1, float(number))
-        engine.answered(stream, 0.8, number + 0.8)
+        engine.assign(stream, 0.2, 0.1, float(number))
+        engine.record_result(stream, 0.8, number + 0.8)
     assert engine.slowness(4.0) > 3
     assert engine.slowness(10.0) < 2
     for number in range(10, 13):
         stream = ids.StreamId(f's{number}')
-        engine.give(stream, 0.2, 0.1, float(number))
-        engine.answered(stream, 0.2, number + 0.2)
+        engine.assign(stream, 0.2, 0.1, float(number))
+        engine.record_result(stream, 0.2, number + 0.2)
     assert engine.slowness(13.0) == 1.0
 
 
 def test_overdue_result_tells_before_it_comes() -> None:
     """An engine that says nothing is slow at once, but not for ever."""
     engine = modelengines.PrefillEngine(_prefill('p0'))
-    engine.give(ids.StreamId('s0'), 0.1, 0.1, 0.0)
+    engine.assign(ids.StreamId('s0'), 0.1, 0.1, 0.0)
     assert engine.slowness(0.1) == 1.0
     assert engine.slowness(0.2) == 1.0, 'words between VMs take their time'
     assert engine.slowness(0.65) == pytest.approx(5.0)
@@ -395,25 +395,25 @@
     prompt read elsewhere.
     """
     health = modelengines.Health()
-    health.failed(0.0)
-    now = health.until
-    health.given(now)
-    assert health.until > now, 'the next one waits for this one'
-    health.alive()
-    assert health.until == 0.0
-    health.given(now + 1.0)
-    health.failed(now + 1.2)
-    assert health.until - now - 1.2 > 0.5, 'left alone for longer'
-    health.worked()
-    health.given(now + 9.0)
-    assert health.until == 0.0
+    health.record_failure(0.0)
+    now = health.suspended_until
+    health.record_run(now)
+    assert health.suspended_until > now, 'the next one waits for this one'
+    health.record_first_event()
+    assert health.suspended_until == 0.0
+    health.record_run(now + 1.0)
+    health.record_failure(now + 1.2)
+    assert health.suspended_until - now - 1.2 > 0.5, 'left alone for longer'
+    health.record_success()
+    health.record_run(now + 9.0)
+    assert health.suspended_until == 0.0
 
 
 def test_suspicion_outlasts_events_of_earlier_runs() -> None:
     """An engine that broke off ten streams makes events of the eleventh."""
     health = modelengines.Health()
     for _ in range(3):
-        health.failed(1.0)
-    until = health.until
-    health.alive()
-    assert health.until == until
+        health.record_failure(1.0)
+    until = health.suspended_until
+    health.record_first_event()
+    assert health.suspended_until == until
--- a/galenahatch/test/test_suspicions.py
+++ b/galenahatch/test/test_suspicions.py
@@ -228,7 +228,9 @@
     runs = [_run(number, 0.0) for number in tried]
     runs.append(placements.Placement(_engine(3), 0, 0.0))
     engines = [_engine(number) for number in (1, 2, 3)]
-    found = placements.apart(_job(is_suspect, *avoid), runs, engines, (), 0.1)
+    found = placements.separate_suspects(
+        _job(is_suspect, *avoid), runs, engines, (), 0.1
+    )
     if found is None:
         assert not goes
         return
@@ -247,13 +249,22 @@
     """Those that have begun well, or tell nothing, keep nobody waiting."""
     runs = [_run(1, 0.0), _run(2, 0.0)]
     engines = [_engine(1), _engine(2)]
-    assert placements.apart(_job(True), runs, engines, (), 1.0) is None
+    assert (
+        placements.separate_suspects(_job(True), runs, engines, (), 1.0)
+        is None
+    )
     runs[1].started_at = 1.0
-    assert placements.apart(_job(True), runs, engines, (), 1.4) is None
-    found = placements.apart(_job(True), runs, engines, (), 1.6)
+    assert (
+        placements.separate_suspects(_job(True), runs, engines, (), 1.4)
+        is None
+    )
+    found = placements.separate_suspects(_job(True), runs, engines, (), 1.6)
     assert found is not None
     assert found.avoid == {_engine(1)}
-    assert placements.apart(_job(True), runs, engines, (), 2.1) is not None
+    assert (
+        placements.separate_suspects(_job(True), runs, engines, (), 2.1)
+        is not None
+    )
 
 
 @pytest.mark.parametrize(
@@ -277,12 +288,12 @@
     engines = [_engine(number) for number in (1, 2, 3)]
     readers = [_engine(number) for number in (11, 12)]
     job = _job(True, *avoid)
-    found = placements.apart(job, runs, engines, readers, 0.1)
+    found = placements.separate_suspects(job, runs, engines, readers, 0.1)
     if goes is None:
         assert found is None
         for run in runs:
-            run.read_at = 0.1
-        found = placements.apart(job, runs, engines, readers, 0.1)
+            run.prefilled_at = 0.1
+        found = placements.separate_suspects(job, runs, engines, readers, 0.1)
         assert found is not None
         return
     assert found is not None
@@ -302,7 +313,9 @@
     for digest in asking:
         suspect = known.is_suspect(digest)
         placed = [run for _, run in runs]
-        job = placements.apart(_job(suspect), placed, engines, (), 0.0)
+        job = placements.separate_suspects(
+            _job(suspect), placed, engines, (), 0.0
+        )
         if job is None:
             continue
         free = [engine for engine in engines if engine not in job.avoid]
