--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -143,7 +143,7 @@
         self.quotas = quotas.Quotas[ids.CustomerName](bound, source)
         self.set_quota(load.quota, now)
         self.began_at = now
-        self.beats_at = now + source.random() * members.BEAT_EVERY
+        self.beats_at = now + source.random() * members.HEARTBEAT_INTERVAL_S
         self.heard: dict[int, float] = {}
 
     def set_quota(self, quota: customers.Quota, now: float) -> None:
@@ -181,7 +181,7 @@
         self._random = random.Random(seed)
         self._loss = loss
         self._size = size
-        self._slower = max(1.0, size / members.SLOWER_FROM)
+        self._slower = max(1.0, size / members.FULL_RATE_MEMBERS)
         self.now = 0.0
         self._gateways = [
             _Gateway(number, load, bound, 0.0, self._random)
@@ -255,7 +255,9 @@
         return sorted(found, key=lambda gateway: gateway.order)
 
     def _beat(self, gateway: _Gateway) -> None:
-        gateway.beats_at = self.now + members.BEAT_EVERY * self._slower
+        gateway.beats_at = (
+            self.now + members.HEARTBEAT_INTERVAL_S * self._slower
+        )
         if self._way is Way.PARTS:
             gateway.quotas.decide_for(1 / self._size)
             return
@@ -285,7 +287,7 @@
     def _part(self, gateway: _Gateway) -> float:
         if self.now - gateway.began_at < _STARTING:
             return 1.0
-        since = self.now - members.heard_within(self._slower)
+        since = self.now - members.liveness_window(self._slower)
         heard = sum(at >= since for at in gateway.heard.values())
         return min(1.0, (1 + heard) / self._size)
 
--- a/galenahatch/core/members.py
+++ b/galenahatch/core/members.py
@@ -35,19 +35,19 @@
 from galenahatch.core import versions
 from galenahatch import ids
 
-SILENT_AFTER: typing.Final = 0.8
+SILENCE_TIMEOUT_S: typing.Final = 0.8
 """Seconds without a word after which a member counts as away: three beats."""
-BEAT_EVERY: typing.Final = 0.25
+HEARTBEAT_INTERVAL_S: typing.Final = 0.25
 """Seconds between beats, where they are not slower."""
-LISTEN_EVERY: typing.Final = 0.25
+LISTEN_INTERVAL_S: typing.Final = 0.25
 """Seconds between two looks at what members send."""
-SLOWER_FROM: typing.Final = 40
+FULL_RATE_MEMBERS: typing.Final = 40
 """Members from which on the beat slows down, so that what the owner spends
 on beats stays the same."""
 _LATE: typing.Final = 1.3
 """Times its interval after which a beat is missed, where beats are slow."""
 _LAST: typing.Final = versions.Version(sys.maxsize, sys.maxsize)
-NO_PLACE: typing.Final = versions.Version(0, 0)
+NO_RANK: typing.Final = versions.Version(0, 0)
 """Of a member that has no row yet."""
 
 
@@ -64,44 +64,44 @@
 
     address: str
     port: int
-    order: versions.Version
-    found_at: float
+    rank: versions.Version
+    discovered_at: float
     heard_at: float = -1e9
     leaving: bool = False
     incarnation: int = 0
-    hears_store: bool = False
-    outdated: versions.Version = NO_PLACE
+    follows_store: bool = False
+    stale_rank: versions.Version = NO_RANK
     unlisted_at: float = math.inf
 
-    def take_order(self, order: versions.Version) -> None:
+    def update_rank(self, order: versions.Version) -> None:
         """Take a place, if it is newer than the one that is known."""
-        known = self.outdated if self.order == _LAST else self.order
+        known = self.stale_rank if self.rank == _LAST else self.rank
         if order > known:
-            self.order = order
+            self.rank = order
 
-    def take_row(self, order: versions.Version) -> None:
+    def update_from_row(self, order: versions.Version) -> None:
         """Take the place of a row.
 
         After a restore, the row of a process that has ended may be back.
         """
-        is_back = order.number <= self.outdated.number
-        if self.order != _LAST or not is_back:
-            self.take_order(order)
+        is_back = order.number <= self.stale_rank.number
+        if self.rank != _LAST or not is_back:
+            self.update_rank(order)
 
-    def restarted(self) -> None:
+    def record_restart(self) -> None:
         """Be last until the row of the new process is known."""
-        if self.order != _LAST:
-            self.outdated = self.order
-        self.order = _LAST
+        if self.rank != _LAST:
+            self.stale_rank = self.rank
+        self.rank = _LAST
 
 
-def heard_within(slower: float) -> float:
+def liveness_window(slower: float) -> float:
     """Return the seconds in which each member that can be reached is heard.
 
     Args:
         slower: how many times slower than usual beats are.
     """
-    return max(SILENT_AFTER, _LATE * BEAT_EVERY * slower)
+    return max(SILENCE_TIMEOUT_S, _LATE * HEARTBEAT_INTERVAL_S * slower)
 
 
 class Members:
@@ -113,30 +113,30 @@
 
     def __init__(self, me: ids.MemberId) -> None:
         self._me = me
-        self._joined = NO_PLACE
+        self._joined = NO_RANK
         self._era = 0
         self._told_size = 1
         self._listened_at = math.inf
         # In their order; nothing once places or members have changed.
         self._ordered: list[ids.MemberId] | None = None
-        self.known: dict[ids.MemberId, Member] = {}
+        self.by_name: dict[ids.MemberId, Member] = {}
 
     @property
-    def order(self) -> versions.Version:
+    def rank(self) -> versions.Version:
         """The place that this member's row has got; number 0 until then."""
         return self._joined
 
     @property
     def size(self) -> int:
         """Members, by rows or by what others tell."""
-        return max(1, len(self.known), self._told_size)
+        return max(1, len(self.by_name), self._told_size)
 
     @property
-    def slower(self) -> float:
+    def heartbeat_slowdown(self) -> float:
         """How many times slower than usual beats are."""
-        return max(1.0, self.size / SLOWER_FROM)
+        return max(1.0, self.size / FULL_RATE_MEMBERS)
 
-    def put(
+    def add_row(
         self,
         name: ids.MemberId,
         port: int,
@@ -146,11 +146,11 @@
         """Take a row; return whether the member is new."""
         self._era = max(self._era, order.era)
         self._ordered = None
-        member = self.known.get(name)
+        member = self.by_name.get(name)
         if member is None:
-            self.known[name] = Member(name, port, order, now)
+            self.by_name[name] = Member(name, port, order, now)
         else:
-            member.take_row(order)
+            member.update_from_row(order)
             member.leaving = False
             member.unlisted_at = math.inf
         self._place_me()
@@ -172,44 +172,44 @@
             Whether it is kept. A row with a number that the store has given
             out again may have been removed.
         """
-        member = self.known[name]
-        if member.order.number <= version.number:
+        member = self.by_name[name]
+        if member.rank.number <= version.number:
             return False
         self._ordered = None
-        member.order = _LAST
+        member.rank = _LAST
         member.unlisted_at = min(member.unlisted_at, now)
         return True
 
     def unlisted_since(self, moment: float) -> list[ids.MemberId]:
         """Return members that have had no row since a moment."""
-        return [n for n, m in self.known.items() if m.unlisted_at <= moment]
+        return [n for n, m in self.by_name.items() if m.unlisted_at <= moment]
 
-    def drop(self, name: ids.MemberId) -> bool:
+    def remove(self, name: ids.MemberId) -> bool:
         """Forget a member whose row is gone; return whether it was known."""
         self._ordered = None
-        return self.known.pop(name, None) is not None
+        return self.by_name.pop(name, None) is not None
 
-    def joined(self, order: versions.Version) -> None:
+    def record_join(self, order: versions.Version) -> None:
         """Note the place that this member's row has got."""
         self._ordered = None
         self._joined = order
         self._place_me()
 
-    def lost_own_row(self) -> None:
+    def record_row_lost(self) -> None:
         """Note that this member has no row any more."""
-        self.joined(NO_PLACE)
+        self.record_join(NO_RANK)
 
     def _place_me(self) -> None:
         """Keep this member last until it has joined.
 
         A row of before a restart tells of what this process does not know.
         """
-        me = self.known.get(self._me)
+        me = self.by_name.get(self._me)
         if me is not None:
-            is_placed = self._joined != NO_PLACE
-            me.order = self._joined if is_placed else _LAST
+            is_placed = self._joined != NO_RANK
+            me.rank = self._joined if is_placed else _LAST
 
-    def listen(self, now: float) -> float:
+    def record_listen(self, now: float) -> float:
         """Note that this process runs, and reads what members send.
 
         To be called every `LISTEN_EVERY` seconds. After a pause it comes
@@ -218,21 +218,21 @@
         Returns:
             Seconds for which this process did not run; 0 if hardly any.
         """
-        missed = now - self._listened_at - LISTEN_EVERY
+        missed = now - self._listened_at - LISTEN_INTERVAL_S
         self._listened_at = now
-        if missed < LISTEN_EVERY:
+        if missed < LISTEN_INTERVAL_S:
             return 0.0
-        for member in self.known.values():
+        for member in self.by_name.values():
             member.heard_at = min(now, member.heard_at + missed)
         return missed
 
-    def heard(
+    def record_message(
         self,
         name: ids.MemberId,
         now: float,
         leaving: bool | None = None,
         incarnation: int = 0,
-        order: versions.Version = NO_PLACE,
+        order: versions.Version = NO_RANK,
     ) -> None:
         """Note a word of a member.
 
@@ -244,70 +244,73 @@
             order: of its process's row, if it told; a row that was read
                 may be of an earlier process.
         """
-        member = self.known.get(name)
+        member = self.by_name.get(name)
         if member is None:
             return
         member.heard_at = now
         if leaving is not None:
             member.leaving = leaving
-        before = member.order
+        before = member.rank
         if incarnation and member.incarnation not in (0, incarnation):
-            member.restarted()
+            member.record_restart()
         member.incarnation = incarnation or member.incarnation
         if order.era == self._era:
-            member.take_order(order)
-        if member.order != before:
+            member.update_rank(order)
+        if member.rank != before:
             self._ordered = None
 
-    def told_size(self, size: int) -> None:
+    def set_reported_size(self, size: int) -> None:
         """Note how many members one that is asked often knows of."""
         self._told_size = size
 
-    def told_store(self, name: ids.MemberId, hears_store: bool) -> None:
+    def set_follows_store(self, name: ids.MemberId, hears_store: bool) -> None:
         """Note whether a member hears the store."""
-        member = self.known.get(name)
+        member = self.by_name.get(name)
         if member is not None:
-            member.hears_store = hears_store
+            member.follows_store = hears_store
 
-    def hearing(self, now: float) -> ids.MemberId | None:
+    def first_following_store(self, now: float) -> ids.MemberId | None:
         """Return the first member beside this one that hears the store."""
-        for name in self.ordered():
-            if name == self._me or not self.known[name].hears_store:
+        for name in self.by_rank():
+            if name == self._me or not self.by_name[name].follows_store:
                 continue
             if self.is_live(name, now):
                 return name
         return None
 
-    def suspect(self, name: ids.MemberId) -> None:
+    def mark_silent(self, name: ids.MemberId) -> None:
         """Count a member as away until it is heard again."""
-        member = self.known.get(name)
+        member = self.by_name.get(name)
         if member is not None:
             member.heard_at = -1e9
 
-    def ordered(self) -> list[ids.MemberId]:
+    def by_rank(self) -> list[ids.MemberId]:
         """Return all members, who has been there longest first."""
         if self._ordered is None:
             self._ordered = sorted(
-                self.known, key=lambda name: (self.known[name].order, name)
+                self.by_name, key=lambda name: (self.by_name[name].rank, name)
             )
         return self._ordered
 
     def is_live(self, name: ids.MemberId, now: float) -> bool:
         """Return whether a member answers and does not stop."""
-        member = self.known.get(name)
+        member = self.by_name.get(name)
         if member is None or member.leaving:
             return False
-        listened = min(now, self._listened_at + LISTEN_EVERY)
-        return listened - member.heard_at < SILENT_AFTER * self.slower
+        listened = min(now, self._listened_at + LISTEN_INTERVAL_S)
+        return (
+            listened - member.heard_at
+            < SILENCE_TIMEOUT_S * self.heartbeat_slowdown
+        )
 
-    def part_heard(self, now: float) -> float:
+    def reachable_fraction(self, now: float) -> float:
         """Return which part of all members this one decides for.
 
         Those that are silent may be gone, or be decided for elsewhere.
         """
-        listened = min(now, self._listened_at + LISTEN_EVERY)
-        others = [m for name, m in self.known.items() if name != self._me]
-        within = heard_within(self.slower)
+        listened = min(now, self._listened_at + LISTEN_INTERVAL_S)
+        others = [m for name, m in self.by_name.items() if name != self._me]
+        within = liveness_window(self.heartbeat_slowdown)
         heard = sum(listened - m.heard_at < within for m in others)
         return min(1.0, (1 + heard) / self.size)
 
@@ -318,7 +321,7 @@
             leaving: whether this one stops.
             now: monotonic seconds.
         """
-        for name in self.ordered():
+        for name in self.by_rank():
             if name == self._me:
                 if not leaving:
                     return name
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -182,16 +182,16 @@
 
     def hearing(self) -> ids.MemberId | None:
         """Return another member that hears the store, if there is one."""
-        return self._members.hearing(clock.now())
+        return self._members.first_following_store(clock.now())
 
     def suspect(self, name: ids.MemberId) -> None:
         """Count a member as away until it is heard again."""
-        self._members.suspect(name)
+        self._members.mark_silent(name)
         _log.warning('Member suspected.', member=name)
 
     def send(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
         """Send a message; lost if the member is away."""
-        if name in self._members.known:
+        if name in self._members.by_name:
             self._link(name).send(message)
 
     def reply(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
@@ -216,17 +216,19 @@
             if suspended:
                 limits = timeouts.catch_up(suspended)
                 _log.warning('Suspended.', seconds=suspended, limits=limits)
-            stalled = self._members.listen(clock.now())
+            stalled = self._members.record_listen(clock.now())
             if stalled:
                 instruments.stalls.add(1)
                 _log.warning('Stalled.', seconds=stalled)
-            await asyncio.sleep(members.LISTEN_EVERY)
+            await asyncio.sleep(members.LISTEN_INTERVAL_S)
 
     async def _beats(self) -> None:
         while True:
             self._beat()
             await self._roster.tidy(self._owner == self.me)
-            await asyncio.sleep(members.BEAT_EVERY * self._members.slower)
+            await asyncio.sleep(
+                members.HEARTBEAT_INTERVAL_S * self._members.heartbeat_slowdown
+            )
 
     def _beat(self) -> None:
         now = clock.now()
@@ -238,14 +240,14 @@
             self.leaving,
             self.held(),
             self._exchange.take_new(),
-            self._members.order.number,
+            self._members.rank.number,
             self._directory.hears_store,
             self._guard.tell(),
             self._accounts.take_new(),
             self._rate_limits.tell(),
             self._notices.tell(),
             self._directory.upstreams_version.era,
-            self._members.order.era,
+            self._members.rank.era,
         )
         if self._members.owner(self.leaving, now) == self.me:
             self._exchange.decides()
@@ -264,13 +266,13 @@
         """
         if now - self._began_at < _STARTING:
             return 1.0
-        return self._members.part_heard(now)
+        return self._members.reachable_fraction(now)
 
     def tell_owner(self, message: frames.AnyMessage) -> None:
         """Send to the owner and whoever may be the next one."""
         now = clock.now()
         live = 0
-        for name in self._members.ordered():
+        for name in self._members.by_rank():
             if live >= rosters.CANDIDATES:
                 break
             live += name == self.me or self._members.is_live(name, now)
@@ -298,7 +300,7 @@
     def _link(self, name: ids.MemberId) -> bus.Link[frames.AnyMessage]:
         link = self._links.get(name)
         if link is None:
-            member = self._members.known[name]
+            member = self._members.by_name[name]
             link = self._links[name] = bus.Link(
                 f'tcp://{member.address}:{member.port}',
                 CODEC,
@@ -329,13 +331,13 @@
                     self.size,
                     self.figures(),
                     self._exchange.sums(),
-                    self._members.order.number,
+                    self._members.rank.number,
                     self._guard.tell(),
                     self._accounts.low(),
                     self._rate_limits.tell(),
                     self._notices.tell(),
                     self._directory.upstreams_version.era,
-                    self._members.order.era,
+                    self._members.rank.era,
                 ),
             )
             self._compare(message)
@@ -352,7 +354,7 @@
     ) -> None:
         if isinstance(message, messages.BeatBack):
             self._hear(name, message)
-            self._members.told_size(message.members)
+            self._members.set_reported_size(message.members)
             if name == self._members.owner(self.leaving, clock.now()):
                 self._exchange.hear(message.outcomes)
             self._accounts.hear(message.low)
@@ -370,11 +372,11 @@
         """Take what a member tells of itself."""
         order = messages.place(beat)
         self._roster.told(order, messages.upstreams_version(beat))
-        self._members.heard(
+        self._members.record_message(
             name, clock.now(), beat.leaving, beat.incarnation, order
         )
         feeds = beat.hears_store and self._asking.is_current(beat)
-        self._members.told_store(name, feeds)
+        self._members.set_follows_store(name, feeds)
 
     def _meet(self, name: ids.MemberId, peer: bus.Peer) -> None:
         """Remember by which connection a member can be answered."""
@@ -393,7 +395,7 @@
             [ids.MemberId, frames.AnyMessage], None
         ],
     ) -> None:
-        self._members.heard(name, clock.now())
+        self._members.record_message(name, clock.now())
         if isinstance(message, messages.Ask):
             news = self._directory.news(message)
             if news is not None:
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -135,12 +135,12 @@
         with each beat, what is new, as long as one of them hears the store.
         """
         now = clock.now()
-        first = self.members.ordered()[:CANDIDATES]
-        if self._me in first or len(self.members.known) <= _SMALL:
+        first = self.members.by_rank()[:CANDIDATES]
+        if self._me in first or len(self.members.by_name) <= _SMALL:
             return False
         return any(
             self.members.is_live(name, now)
-            and self.members.known[name].hears_store
+            and self.members.by_name[name].follows_store
             for name in first
         )
 
@@ -171,8 +171,8 @@
 
         Those first in the order ask often, and so do few members.
         """
-        known = len(self.members.known)
-        if self._me in self.members.ordered()[:CANDIDATES]:
+        known = len(self.members.by_name)
+        if self._me in self.members.by_rank()[:CANDIDATES]:
             known = 0
         return followers.LONGEST_PAUSE * max(1.0, known / _SMALL)
 
@@ -183,7 +183,7 @@
         while True:
             written = await self._write()
             self._is_lost.clear()
-            self.members.joined(written.version)
+            self.members.record_join(written.version)
             _log.info(
                 'Joined.',
                 member=self._me,
@@ -212,19 +212,19 @@
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         """Find this member's row in a list of all."""
-        joined = self.members.order
-        if not members.NO_PLACE < joined <= version:
+        joined = self.members.rank
+        if not members.NO_RANK < joined <= version:
             return
         number = next((row.ver for row in rows if row.key == self._me), 0)
         is_same_era = version.era == joined.era
         if number == joined.number or (is_same_era and number > joined.number):
-            self.members.joined(versions.Version(version.era, number))
+            self.members.record_join(versions.Version(version.era, number))
         else:
             self._lost_own_row(version)
 
     def _lost_own_row(self, version: versions.Version) -> None:
         _log.warning('Own row lost.', era=version.era, ver=version.number)
-        self.members.lost_own_row()
+        self.members.record_row_lost()
         self._is_lost.set()
 
     async def tidy(self, decides: bool) -> None:
@@ -240,15 +240,15 @@
             await self._remove_silent(now)
 
     async def _remove_silent(self, now: float) -> None:
-        for name, member in self.members.known.items():
-            since = max(member.heard_at, member.found_at)
+        for name, member in self.members.by_name.items():
+            since = max(member.heard_at, member.discovered_at)
             if name == self._me or now - since < _FORGET_AFTER:
                 continue
-            if member.order.era != self.feed.version.era:
+            if member.rank.era != self.feed.version.era:
                 # The number may be another row's in this era.
                 continue
-            member.found_at = now
-            await self._remove(name, member.order.number)
+            member.discovered_at = now
+            await self._remove(name, member.rank.number)
             return
 
     async def _remove(self, name: ids.MemberId, order: int) -> None:
@@ -269,7 +269,7 @@
         self._listed = version
         now = clock.now()
         current = {row.key for row in rows}
-        for name in self.members.known.keys() - current:
+        for name in self.members.by_name.keys() - current:
             if is_restored and self.members.keep_unlisted(name, version, now):
                 continue
             self._drop(name)
@@ -288,7 +288,7 @@
                 self._drop(name)
                 if (
                     name == self._me
-                    and members.NO_PLACE < self.members.order < version
+                    and members.NO_RANK < self.members.rank < version
                 ):
                     self._lost_own_row(version)
                 continue
@@ -296,10 +296,10 @@
             if told is None:
                 continue
             order = versions.Version(version.era, row.ver)
-            if self.members.put(name, told.port, order, clock.now()):
+            if self.members.add_row(name, told.port, order, clock.now()):
                 _log.info('Member found.', member=name, order=row.ver)
 
     def _drop(self, name: ids.MemberId) -> None:
         self._dropped(name)
-        if self.members.drop(name):
+        if self.members.remove(name):
             _log.info('Member gone.', member=name)
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -767,19 +767,19 @@
     """Who restarted knows nothing and is last until its new row is seen."""
     members = members_module.Members(ids.MemberId('c'))
     for order, name in enumerate('abc', 1):
-        members.put(ids.MemberId(name), 1, _place(order), 0.0)
+        members.add_row(ids.MemberId(name), 1, _place(order), 0.0)
     for name in 'ab':
-        members.heard(ids.MemberId(name), 0.0, False, incarnation=1)
+        members.record_message(ids.MemberId(name), 0.0, False, incarnation=1)
     assert members.owner(False, 0.1) == 'a'
-    members.heard(ids.MemberId('a'), 0.2, False, incarnation=2)
+    members.record_message(ids.MemberId('a'), 0.2, False, incarnation=2)
     assert members.owner(False, 0.3) == 'b'
-    members.put(ids.MemberId('a'), 1, _place(1), 0.3)
+    members.add_row(ids.MemberId('a'), 1, _place(1), 0.3)
     assert members.owner(False, 0.3) == 'b', 'a row of before tells nothing'
-    members.put(ids.MemberId('a'), 1, _place(9), 0.4)
-    members.heard(ids.MemberId('a'), 0.4, False, incarnation=2)
-    assert members.ordered() == ['b', 'a', 'c']
-    members.joined(_place(3))
-    assert members.ordered() == ['b', 'c', 'a']
+    members.add_row(ids.MemberId('a'), 1, _place(9), 0.4)
+    members.record_message(ids.MemberId('a'), 0.4, False, incarnation=2)
+    assert members.by_rank() == ['b', 'a', 'c']
+    members.record_join(_place(3))
+    assert members.by_rank() == ['b', 'c', 'a']
     assert members.owner(False, 2.0) == 'c', 'both others are silent'
     assert members.owner(True, 0.4) == 'b', 'this one stops'
 
@@ -791,16 +791,16 @@
     owner though they read the rows at different moments.
     """
     members = members_module.Members(ids.MemberId('c'))
-    members.put(ids.MemberId('a'), 1, _place(1), 0.0)
-    members.put(ids.MemberId('b'), 1, _place(21), 0.0)
-    members.heard(
+    members.add_row(ids.MemberId('a'), 1, _place(1), 0.0)
+    members.add_row(ids.MemberId('b'), 1, _place(21), 0.0)
+    members.record_message(
         ids.MemberId('a'), 0.1, False, incarnation=5, order=_place(22)
     )
-    members.heard(
+    members.record_message(
         ids.MemberId('b'), 0.1, False, incarnation=6, order=_place(21)
     )
     assert members.owner(False, 0.2) == 'b'
-    members.put(ids.MemberId('a'), 1, _place(1), 0.2)
+    members.add_row(ids.MemberId('a'), 1, _place(1), 0.2)
     assert members.owner(False, 0.2) == 'b', 'read late, and still of before'
 
 
--- a/galenahatch/test/test_pauses.py
+++ b/galenahatch/test/test_pauses.py
@@ -260,17 +260,19 @@
     known = members.Members(ids.MemberId('b'))
     for name, order in (('a', 1), ('b', 2)):
         place = versions.Version(0, order)
-        known.put(ids.MemberId(name), 7660, place, now=0.0)
-    known.joined(versions.Version(0, 2))
+        known.add_row(ids.MemberId(name), 7660, place, now=0.0)
+    known.record_join(versions.Version(0, 2))
     other = ids.MemberId('a')
-    known.listen(10.0)
-    known.heard(other, 10.0)
+    known.record_listen(10.0)
+    known.record_message(other, 10.0)
     # A timer of another task comes first after a pause of five seconds.
     assert known.owner(False, 15.0) == other
-    assert known.listen(15.0) == pytest.approx(5.0 - members.LISTEN_EVERY)
+    assert known.record_listen(15.0) == pytest.approx(
+        5.0 - members.LISTEN_INTERVAL_S
+    )
     assert known.is_live(other, 15.2)
     for tick in range(1, 6):
-        assert not known.listen(15.0 + tick * members.LISTEN_EVERY)
+        assert not known.record_listen(15.0 + tick * members.LISTEN_INTERVAL_S)
     assert not known.is_live(other, 16.3)
-    known.heard(other, 16.3)
+    known.record_message(other, 16.3)
     assert known.is_live(other, 16.4)
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -306,26 +306,26 @@
         return ids.MemberId(member)
 
     known = members.Members(name('d'))
-    known.joined(versions.Version(1, 45))
+    known.record_join(versions.Version(1, 45))
     for number, member in enumerate('abcd', 5):
-        known.put(name(member), 1, versions.Version(1, number), 0.0)
-        known.heard(name(member), 0.0, False, incarnation=1)
-    known.heard(name('a'), 0.1, False, incarnation=2)
-    known.heard(name('b'), 0.1, order=versions.Version(2, 6))
-    assert known.ordered() == ['b', 'c', 'd', 'a']
+        known.add_row(name(member), 1, versions.Version(1, number), 0.0)
+        known.record_message(name(member), 0.0, False, incarnation=1)
+    known.record_message(name('a'), 0.1, False, incarnation=2)
+    known.record_message(name('b'), 0.1, order=versions.Version(2, 6))
+    assert known.by_rank() == ['b', 'c', 'd', 'a']
     for number, member in enumerate('abc', 5):
-        known.put(name(member), 1, versions.Version(2, number), 0.2)
-    known.lost_own_row()
+        known.add_row(name(member), 1, versions.Version(2, number), 0.2)
+    known.record_row_lost()
     assert known.keep_unlisted(name('d'), versions.Version(2, 7), 0.2)
-    assert known.ordered() == ['b', 'c', 'a', 'd']
+    assert known.by_rank() == ['b', 'c', 'a', 'd']
     assert not known.keep_unlisted(name('c'), versions.Version(2, 7), 0.2), (
         'removed'
     )
     assert known.unlisted_since(0.2) == ['d']
-    known.heard(name('b'), 0.3, order=versions.Version(1, 90))
-    known.heard(name('a'), 0.3, order=versions.Version(2, 5))
-    assert known.ordered() == ['a', 'b', 'c', 'd'], 'its own word counts'
-    known.put(name('d'), 1, versions.Version(2, 8), 0.4)
+    known.record_message(name('b'), 0.3, order=versions.Version(1, 90))
+    known.record_message(name('a'), 0.3, order=versions.Version(2, 5))
+    assert known.by_rank() == ['a', 'b', 'c', 'd'], 'its own word counts'
+    known.add_row(name('d'), 1, versions.Version(2, 8), 0.4)
     assert not known.unlisted_since(9.0)
 
 
--- a/galenahatch/test/test_suspensions.py
+++ b/galenahatch/test/test_suspensions.py
@@ -170,13 +170,13 @@
     """Members are heard before they are judged, as after any pause."""
     known = members.Members(ids.MemberId('me'))
     place = versions.Version(0, 1)
-    known.put(ids.MemberId('other'), 1, place, clock.now())
-    known.listen(clock.now())
-    known.heard(ids.MemberId('other'), clock.now())
+    known.add_row(ids.MemberId('other'), 1, place, clock.now())
+    known.record_listen(clock.now())
+    known.record_message(ids.MemberId('other'), clock.now())
     vm.suspend(_SLEPT)
     assert known.is_live(ids.MemberId('other'), clock.now())
-    assert known.listen(clock.now()) == pytest.approx(
-        _SLEPT - members.LISTEN_EVERY, abs=0.1
+    assert known.record_listen(clock.now()) == pytest.approx(
+        _SLEPT - members.LISTEN_INTERVAL_S, abs=0.1
     )
     assert known.is_live(ids.MemberId('other'), clock.now())
 
