--- a/bench/limits.py
+++ b/bench/limits.py
@@ -93,20 +93,23 @@
             return
         gateway = up[0] if self._load.at_one else self._random.choice(up)
         if self._way is not fleets.Way.OWNER:
-            denied = gateway.quotas.take(
+            denied = gateway.quotas.acquire(
                 fleets.NAME, units, self.now, told=True
             )
-            if gateway.quotas.must_tell(fleets.NAME, self._size):
+            if gateway.quotas.must_report(fleets.NAME, self._size):
                 self._tell(gateway)
         elif self.now < self._held_until.get(gateway.number, 0.0):
             return
         else:
             self.questions += 1
             owner = self._of(gateway.group)[0]
-            denied = owner.quotas.take(fleets.NAME, units, self.now)
+            denied = owner.quotas.acquire(fleets.NAME, units, self.now)
             if denied is not None:
-                self._held_until[gateway.number] = self.now + ratelimits.pause(
-                    denied.retry_after or 0.0, self._size
+                self._held_until[gateway.number] = (
+                    self.now
+                    + ratelimits.retry_delay(
+                        denied.retry_after or 0.0, self._size
+                    )
                 )
         self._asked.append((self.now, units, denied is None))
 
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -259,12 +259,12 @@
             self.now + members.HEARTBEAT_INTERVAL_S * self._slower
         )
         if self._way is Way.PARTS:
-            gateway.quotas.decide_for(1 / self._size)
+            gateway.quotas.set_fraction(1 / self._size)
             return
         first = self._of(gateway.group)[:2]
         is_owner = first[0] is gateway
         part = self._part(gateway) if is_owner else 1.0
-        gateway.quotas.decide_for(part)
+        gateway.quotas.set_fraction(part)
         self._tell(gateway)
         for other in first:
             if other is not gateway and self._random.random() >= self._loss:
@@ -274,15 +274,15 @@
         """Tell who decides, and who would next, what was used here."""
         if self._way is Way.PARTS:
             return
-        untold = gateway.quotas.take_untold()
+        untold = gateway.quotas.take_unreported()
         for other in self._of(gateway.group)[:2]:
             if other is gateway or self._random.random() < self._loss:
                 continue
-            other.quotas.used_elsewhere(untold, self.now)
-            low = other.quotas.low(self.now)
+            other.quotas.record_remote_use(untold, self.now)
+            low = other.quotas.low_levels(self.now)
             self._bytes += _ENTRY_BYTES * (len(untold) + len(low))
             if self._random.random() >= self._loss:
-                gateway.quotas.hear(low, self.now)
+                gateway.quotas.merge_levels(low, self.now)
 
     def _part(self, gateway: _Gateway) -> float:
         if self.now - gateway.began_at < _STARTING:
@@ -317,8 +317,8 @@
         gateway = up[0] if self._load.at_one else self._random.choice(up)
         is_local = self._way is not Way.OWNER or units == _CALL
         where = gateway if is_local else self._of(gateway.group)[0]
-        denied = where.quotas.take(NAME, units, self.now, told=is_local)
-        if is_local and where.quotas.must_tell(NAME, self._size):
+        denied = where.quotas.acquire(NAME, units, self.now, told=is_local)
+        if is_local and where.quotas.must_report(NAME, self._size):
             self._tell(where)
         self._asked.append((self.now, units, denied is None))
 
@@ -334,7 +334,7 @@
             if ran and at >= since
         ]
         limit = self.quota.rate * self._bound.window + self.quota.burst
-        bound = limit + self._bound.beyond(self.quota)
+        bound = limit + self._bound.allowance(self.quota)
         return Result(
             worst=_fullest(granted, self._bound.window) / bound,
             refused=self._refused_within(),
--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -17,13 +17,13 @@
 
 import typing
 
-from galenahatch.core import division as divisions
 from galenahatch.core import forecast as forecasts
 from galenahatch.core import generations
 from galenahatch.core import pool as pools
 from galenahatch.core import ratelimits
-from galenahatch.core import returns as returns_module
-from galenahatch.core import waiting
+from galenahatch.core import rebalancing as divisions
+from galenahatch.core import retryafter as returns_module
+from galenahatch.core import waitqueue
 
 _CAUTION: typing.Final = 1.3
 """Times the predicted wait that a request must have left to be kept. What is
@@ -48,7 +48,7 @@
     def __init__(
         self,
         pool: pools.Pool,
-        queue: waiting.WaitQueue,
+        queue: waitqueue.WaitQueue,
         forecast: forecasts.Forecast,
         returns: returns_module.RetrySchedule,
         division: divisions.Rebalancer,
@@ -81,7 +81,7 @@
             return max(0.0, min(ends, default=now) - now)
         found = [engine.upstream.id for engine in engines]
         requests = len(self._queue) + before + 1
-        return self._limiter.wait(found, requests, now)
+        return self._limiter.seconds_until_room(found, requests, now)
 
     def is_limited(self, job: Job, now: float) -> bool:
         """Return whether the wishes of engines let no run start in time."""
@@ -97,7 +97,7 @@
         if job.is_committed:
             return None
         wait = _CAUTION * self._forecast.predict_wait(job, 1, now)
-        if now + wait > waiting.first_event_limit(job):
+        if now + wait > waitqueue.first_event_limit(job):
             return self.keep_late(job, wait, now)
         self._queue.commit(job)
         return None
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -21,7 +21,7 @@
 will be served before its caller leaves, and is refused at once otherwise,
 with the time at which there is room. One that may still start in time is
 decided on a moment later, while a refusal costs its caller nothing yet. What
-is kept is served before all that came after it (`core/waiting`). Time counts
+is kept is served before all that came after it (`core/waitqueue`). Time counts
 from a caller's first attempt: who comes back has waited already.
 
 Times are monotonic seconds, passed in; there is no input or output here.
@@ -32,7 +32,7 @@
 import typing
 
 from galenahatch.core import admission
-from galenahatch.core import division as divisions
+from galenahatch.core import decodeprefill
 from galenahatch.core import figures
 from galenahatch.core import forecast
 from galenahatch.core import generations
@@ -41,10 +41,10 @@
 from galenahatch.core import placements
 from galenahatch.core import pool
 from galenahatch.core import ratelimits
-from galenahatch.core import reading
-from galenahatch.core import returns
+from galenahatch.core import rebalancing as divisions
+from galenahatch.core import retryafter
 from galenahatch.core import upstreams
-from galenahatch.core import waiting
+from galenahatch.core import waitqueue
 from galenahatch import ids
 
 PREFILL_LOOKAHEAD_S: typing.Final = 0.02
@@ -79,8 +79,8 @@
         self._limiter = limiter
         self._pool = pool.Pool(capacity, slots, limiter)
         self._measures = figures.Estimator()
-        self._returns = returns.RetrySchedule()
-        self._queue = waiting.WaitQueue(self._measures)
+        self._returns = retryafter.RetrySchedule()
+        self._queue = waitqueue.WaitQueue(self._measures)
         self._forecast = forecast.Forecast(
             self._pool, self._measures, self._queue
         )
@@ -186,7 +186,7 @@
                 return self._admission.refuse(job, 'engines_hold_back', now)
             owed = 1 + self._returns.due_count(now)
             wait = self._forecast.predict_wait(job, owed, now)
-            if now + wait > waiting.first_event_limit(job):
+            if now + wait > waitqueue.first_event_limit(job):
                 return self._admission.keep_late(job, wait, now)
         self._queue.add(job)
         return None
@@ -209,9 +209,9 @@
                     decision = found
                 else:
                     lacks += self._lacks(found, job, now)
-            is_due = waiting.needs_decision(
+            is_due = waitqueue.needs_decision(
                 job, now
-            ) or waiting.has_missed_start(job, now)
+            ) or waitqueue.has_missed_start(job, now)
             if decision is None and is_due:
                 decision = self._admission.keep_or_refuse(job, now)
             if decision is not None:
@@ -223,7 +223,7 @@
         """Return how many of those behind need not be looked at."""
         if lack is generations.Lack.MEMORY:
             return forecast.MAX_JOBS_CHECKED
-        if lack is generations.Lack.PREFILL and waiting.is_wait_noticeable(
+        if lack is generations.Lack.PREFILL and waitqueue.is_wait_noticeable(
             job, now
         ):
             self._division.record_prefill_wait(now)
@@ -348,14 +348,14 @@
             prefill = None
         ready = now + self._measures.seconds_to_first_event(job)
         if prefill is None and not job.is_prefilled:
-            ready += reading.prefill_seconds(job, self._measures)
+            ready += decodeprefill.prefill_seconds(job, self._measures)
         decode = self._pool.choose_decode(job, prefill, ready, now)
         if decode is None:
             if prefill is None and not job.is_prefilled:
                 return generations.Lack.PREFILL
             return generations.Lack.MEMORY
         chosen = [e.upstream.id for e in (prefill, decode) if e is not None]
-        if not self._limiter.take_all(chosen, now):
+        if not self._limiter.acquire_all(chosen, now):
             return generations.Lack.MEMORY
         return self._placed(job, prefill, decode, ready, now)
 
@@ -391,7 +391,7 @@
                 now,
             )
         elif not job.is_prefilled:
-            decode.prefilling_until = now + reading.busy_seconds(
+            decode.prefilling_until = now + decodeprefill.busy_seconds(
                 job, self._measures
             )
         why = (
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -24,12 +24,12 @@
 import math
 import typing
 
+from galenahatch.core import decodeprefill
 from galenahatch.core import figures
 from galenahatch.core import generations
 from galenahatch.core import pool as pools
-from galenahatch.core import reading
 from galenahatch.core import stages
-from galenahatch.core import waiting
+from galenahatch.core import waitqueue
 
 _LEAST_SPARE: typing.Final = 0.02
 """Least part of the engines' rate that is taken to be left for who is late or
@@ -64,7 +64,7 @@
         self,
         pool: pools.Pool,
         measures: figures.Estimator,
-        queue: waiting.WaitQueue,
+        queue: waitqueue.WaitQueue,
     ) -> None:
         self._pool = pool
         self._measures = measures
@@ -91,7 +91,7 @@
         )
         life = known.output * self._pool.mean_pace_at_batch(runs, known.pace)
         life += self._measures.prefill_seconds(round(known.prompt))
-        helped = reading.mean_prefill_seconds(self._measures)
+        helped = decodeprefill.mean_prefill_seconds(self._measures)
         return [
             stages.RequestCost(read, life / runs, helped)
             for read in self._measures.prefill_busy_range()
@@ -175,13 +175,15 @@
 
     def may_prefill_at_decode(self, job: Job, now: float) -> bool:
         """Return whether a decode engine should read a request's prompt."""
-        if not reading.fits_pause(job, self._measures):
+        if not decodeprefill.fits_pause(job, self._measures):
             return False
         readers = self._pool.available_prefills(now)
         waits = len(self._queue)
-        if not reading.is_prefill_late(job, waits, readers, self._measures):
+        if not decodeprefill.is_prefill_late(
+            job, waits, readers, self._measures
+        ):
             return False
-        return reading.is_prefill_bound(
+        return decodeprefill.is_prefill_bound(
             readers, self._ending_rate(), self._measures
         )
 
@@ -204,15 +206,20 @@
             # Decode engines read all prompts, one after another.
             mean = self._measures.figures.prompt
             each = (
-                reading.mean_prefill_seconds(self._measures) + reading.REST_S
+                decodeprefill.mean_prefill_seconds(self._measures)
+                + decodeprefill.REST_S
             )
             lines = len(
                 self._pool.decodes
             ) * self._measures.prefill_busy_seconds(mean)
             return max(lines / each, _LEAST_LINES)
-        if not reading.is_prefill_bound(prefills, ending, self._measures):
+        if not decodeprefill.is_prefill_bound(
+            prefills, ending, self._measures
+        ):
             return prefills
-        return prefills + reading.PREFILL_EQUIVALENT * len(self._pool.decodes)
+        return prefills + decodeprefill.PREFILL_EQUIVALENT * len(
+            self._pool.decodes
+        )
 
     def _has_room(
         self, job: Job, ahead: collections.abc.Collection[Job], now: float
--- a/galenahatch/core/pool.py
+++ b/galenahatch/core/pool.py
@@ -324,7 +324,7 @@
             if engine.health.suspended_until <= now
             and engine.upstream.id not in job.avoid
             and not job.is_paused(engine.upstream.id, now)
-            and self._limiter.may_take(engine.upstream.id, now)
+            and self._limiter.can_acquire(engine.upstream.id, now)
         ]
 
         def key(
@@ -360,7 +360,7 @@
             for engine in self.usable_decodes(job, now)
             if engine.fits(run, now)
             and not (reads and engine.prefilling_until > now)
-            and self._limiter.may_take(engine.upstream.id, now)
+            and self._limiter.can_acquire(engine.upstream.id, now)
         ]
 
         def key(engine: modelengines.DecodeEngine) -> float:
@@ -385,18 +385,14 @@
             if not job.is_paused(engine.upstream.id, now)
         ]
         usable = [e for e in free if e.upstream.id not in job.avoid] or free
-        well = [
-            engine for engine in usable if engine.health.suspended_until <= now
-        ]
+        well = [e for e in usable if e.health.suspended_until <= now]
         return well or [e for e in usable if not e.health.unreachable]
 
     def seconds_to_next_trial(self, now: float) -> float:
         """Return the seconds until a decode engine may be given a run."""
         waits = (
-            engine.health.suspended_until - now
-            if engine.health.unreachable
-            else 0.0
-            for engine in self.decodes.values()
+            e.health.suspended_until - now if e.health.unreachable else 0.0
+            for e in self.decodes.values()
         )
         return max(0.0, min(waits, default=0.0))
 
@@ -429,7 +425,6 @@
             return 0.0
         runs = self.concurrent_runs(held, output)
         return sum(
-            runs
-            / (max(0.1, output * engine.memory.pace_at_batch(runs)) + read)
-            for engine in self.decodes.values()
+            runs / (max(0.1, output * e.memory.pace_at_batch(runs)) + read)
+            for e in self.decodes.values()
         )
--- a/galenahatch/core/quarantine.py
+++ b/galenahatch/core/quarantine.py
@@ -46,7 +46,7 @@
 
 from galenahatch import ids
 
-ENDS: typing.Final = 3
+END_THRESHOLD: typing.Final = 3
 """Ends of upstreams after which a request is held back."""
 _ENDS_SURELY: typing.Final = 5
 """Ends after which it is held back though another one was at all of them."""
@@ -54,7 +54,7 @@
 """Ends that are kept of a request; more change nothing."""
 _LASTING: typing.Final = 2
 """Ends from which on a record is worth to be stored."""
-LIFE: typing.Final = 600.0
+RECORD_LIFE_S: typing.Final = 600.0
 """Seconds after its last end for which a request is remembered."""
 _MOST_RECORDS: typing.Final = 1024
 _MOST_TOLD: typing.Final = 16
@@ -126,23 +126,23 @@
 
     # What this gateway sees.
 
-    def ended(
+    def record_end(
         self, digest: Digest, upstream: ids.UpstreamId, now: float
     ) -> None:
         """Note that an upstream ended under a request it had just begun."""
         number = zlib.crc32(upstream.encode())
-        self.hear([Suspicion(digest, (number,))], now)
+        self.merge([Suspicion(digest, (number,))], now)
 
-    def served(self, digest: Digest, now: float) -> bool:
+    def record_success(self, digest: Digest, now: float) -> bool:
         """Note that a request ran whole; return whether it was suspected."""
         if not self.is_suspect(digest):
             return False
-        self.hear([Suspicion(digest, (), cleared=True)], now)
+        self.merge([Suspicion(digest, (), cleared=True)], now)
         return True
 
     # What gateways tell each other.
 
-    def tell(self, now: float) -> list[Suspicion]:
+    def make_reports(self, now: float) -> list[Suspicion]:
         """Return what is new, most ends first, and of the rest some."""
         fresh = sorted(
             (-len(record.ends), -record.learnt_at, digest)
@@ -156,7 +156,7 @@
             told[rest[self._turn]] = None
         return [self._suspicion(digest, now) for digest in told]
 
-    def lasting(self, now: float) -> list[Suspicion]:
+    def persistent_records(self, now: float) -> list[Suspicion]:
         """Return what must outlive all gateways."""
         return [
             self._suspicion(digest, now)
@@ -164,7 +164,7 @@
             if len(record.ends) >= _LASTING
         ]
 
-    def hear(
+    def merge(
         self, told: collections.abc.Iterable[Suspicion], now: float
     ) -> None:
         """Add what another gateway knows, or a new observation."""
@@ -172,12 +172,12 @@
         if any(changes):
             self._judge()
 
-    def forget(self, now: float) -> None:
+    def prune(self, now: float) -> None:
         """Drop what was long ago, and the oldest of too many."""
         old = [
             digest
             for digest, record in self._records.items()
-            if now - record.changed_at > LIFE
+            if now - record.changed_at > RECORD_LIFE_S
         ]
         excess = len(self._records) - len(old) - _MOST_RECORDS
         if excess > 0:
@@ -193,7 +193,7 @@
 
     def _merge(self, told: Suspicion, now: float) -> bool:
         """Take a record; return whether it tells something new."""
-        if told.age > LIFE:
+        if told.age > RECORD_LIFE_S:
             return False
         changed_at = now - max(0.0, told.age)
         record = self._records.get(told.digest)
@@ -228,7 +228,7 @@
         held = set()
         for digest, ends in suspects:
             own = ends - explained
-            if len(own) < ENDS:
+            if len(own) < END_THRESHOLD:
                 continue
             alike = len(set.intersection(*(by_end[end] for end in own))) > 1
             if alike and len(own) < _ENDS_SURELY:
--- a/galenahatch/core/quotas.py
+++ b/galenahatch/core/quotas.py
@@ -86,15 +86,15 @@
     overshoot: float = 0.1
     slack: float = 0.0
 
-    def beyond(self, quota: customers.Quota) -> float:
+    def allowance(self, quota: customers.Quota) -> float:
         """Return the units beyond a quota that a window may hold."""
         limit = quota.rate * self.window + quota.burst
         return self.overshoot * limit + self.slack
 
-    def boost(self, quota: customers.Quota) -> float:
+    def partition_boost(self, quota: customers.Quota) -> float:
         """Return how many times their part VMs that are apart may use."""
         limit = quota.rate * self.window + quota.burst
-        return 1 + _APART * self.beyond(quota) / limit
+        return 1 + _APART * self.allowance(quota) / limit
 
 
 @dataclasses.dataclass(frozen=True)
@@ -123,8 +123,8 @@
 
     def set_quota(self, quota: customers.Quota, bound: Bound) -> None:
         self.quota = quota
-        self.capacity = quota.burst + _MARGIN * bound.beyond(quota)
-        self.boost = bound.boost(quota)
+        self.capacity = quota.burst + _MARGIN * bound.allowance(quota)
+        self.boost = bound.partition_boost(quota)
 
     def set_level(self, level: float) -> None:
         self.level = min(self.capacity, level)
@@ -172,12 +172,12 @@
             if customer.quota is not None
         }
         for name in self._buckets.keys() - limited.keys():
-            self.drop(name)
+            self.remove(name)
         for name, quota in limited.items():
             self.set_quota(name, quota, now)
         self._is_new = False
 
-    def drop(self, name: Key) -> None:
+    def remove(self, name: Key) -> None:
         """Forget a quota: nothing is limited any more."""
         self._buckets.pop(name, None)
         self._untold.pop(name, None)
@@ -189,7 +189,7 @@
             bucket = self._buckets[name] = _Bucket(quota, self._bound)
             bucket.filled_at = now
             if self._is_new:
-                bucket.set_level(_FRESH * self._bound.beyond(quota))
+                bucket.set_level(_FRESH * self._bound.allowance(quota))
             return
         if bucket.quota == quota:
             return
@@ -199,11 +199,11 @@
         bucket.set_level(bucket.level + max(0.0, raised))
         bucket.booked_until = now
 
-    def decide_for(self, part: float) -> None:
+    def set_fraction(self, part: float) -> None:
         """Note for which part of all VMs this one decides."""
         self._part = part
 
-    def take(
+    def acquire(
         self,
         name: Key,
         units: float,
@@ -231,7 +231,7 @@
             self._untold[name] = self._untold.get(name, 0.0) + units
         return None
 
-    def may_take(self, name: Key, units: float, now: float) -> bool:
+    def can_acquire(self, name: Key, units: float, now: float) -> bool:
         """Return whether `take` may grant units."""
         bucket = self._buckets.get(name)
         if bucket is None:
@@ -240,7 +240,7 @@
         wanted = min(units / bucket.share(self._part), bucket.capacity)
         return wanted <= bucket.level
 
-    def left(self, name: Key, now: float) -> tuple[float, float]:
+    def available(self, name: Key, now: float) -> tuple[float, float]:
         """Return the units that are left here, and those a second.
 
         Args:
@@ -286,7 +286,7 @@
         )
         return Denied(wait, why)
 
-    def give_back(
+    def refund(
         self,
         name: Key,
         units: float,
@@ -302,14 +302,14 @@
         if told:
             self._untold[name] = self._untold.get(name, 0.0) - units
 
-    def most(self, name: Key) -> float | None:
+    def max_units(self, name: Key) -> float | None:
         """Return the most units of one request; None for no limit."""
         bucket = self._buckets.get(name)
         return None if bucket is None else bucket.capacity
 
     # What VMs tell each other.
 
-    def must_tell(self, name: Key, size: int) -> bool:
+    def must_report(self, name: Key, size: int) -> bool:
         """Return whether what was used here can't wait for the next beat.
 
         Args:
@@ -334,12 +334,12 @@
                 found[name] = bucket.level
         return found
 
-    def take_untold(self) -> dict[Key, float]:
+    def take_unreported(self) -> dict[Key, float]:
         """Return what was used here since the last call."""
         untold, self._untold = self._untold, {}
         return untold
 
-    def used_elsewhere(
+    def record_remote_use(
         self, used: typing.Mapping[Key, float], now: float
     ) -> None:
         """Take what another VM has counted; it may lead to a debt.
@@ -354,7 +354,7 @@
                 bucket.fill(now)
                 bucket.set_level(bucket.level - units / bucket.share(part))
 
-    def low(self, now: float) -> dict[Key, float]:
+    def low_levels(self, now: float) -> dict[Key, float]:
         """Return the levels of customers that are short."""
         levels = {}
         for name, bucket in self._buckets.items():
@@ -366,7 +366,9 @@
         lowest = sorted(levels, key=lambda name: levels[name])
         return {name: levels[name] for name in lowest[:_MOST_TOLD]}
 
-    def hear(self, levels: typing.Mapping[Key, float], now: float) -> None:
+    def merge_levels(
+        self, levels: typing.Mapping[Key, float], now: float
+    ) -> None:
         """Take the levels that an owner tells."""
         for name, level in levels.items():
             bucket = self._buckets.get(name)
--- a/galenahatch/core/ratelimits.py
+++ b/galenahatch/core/ratelimits.py
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class LimitReport:
     """What VMs tell each other of one upstream.
 
     Attributes:
@@ -103,7 +103,7 @@
         self._turn = 0
 
     @property
-    def known(self) -> typing.Mapping[ids.UpstreamId, Notice]:
+    def by_upstream(self) -> typing.Mapping[ids.UpstreamId, Notice]:
         """What is known of each upstream."""
         return self._notices
 
@@ -112,7 +112,7 @@
         notice = self._notices.get(upstream)
         return notice.rate if notice is not None else None
 
-    def answered(
+    def record_answer(
         self,
         upstream: ids.UpstreamId,
         rate: float | None,
@@ -129,7 +129,7 @@
         """
         return self._take(upstream, rate, sent_at if rate is None else now)
 
-    def hear(self, told: Told, now: float) -> bool:
+    def merge(self, told: LimitReport, now: float) -> bool:
         """Take what another VM tells; return whether the limit changed.
 
         What was known before seems a little newer with each VM that tells it;
@@ -161,10 +161,10 @@
         self._notices[upstream] = Notice(rate, at, since)
         return rate != before.rate
 
-    def tell(self, now: float) -> list[Told]:
+    def make_reports(self, now: float) -> list[LimitReport]:
         """Return what other VMs should know; of very many some in turn."""
         told = [
-            Told(upstream, notice.rate, max(0.0, now - notice.at))
+            LimitReport(upstream, notice.rate, max(0.0, now - notice.at))
             for upstream, notice in self._notices.items()
             if notice.rate is not None or now - notice.at < _REMEMBERED
         ]
@@ -173,7 +173,7 @@
         self._turn = (self._turn + _MOST_TOLD) % len(told)
         return (told + told)[self._turn : self._turn + _MOST_TOLD]
 
-    def forget(
+    def prune(
         self, known: typing.Container[ids.UpstreamId], now: float
     ) -> list[ids.UpstreamId]:
         """Drop and return what is gone; entries may lapse and come back."""
@@ -187,7 +187,7 @@
         return gone
 
 
-def pause(wait: float, size: int) -> float:
+def retry_delay(wait: float, size: int) -> float:
     """Return the seconds after which a VM asks the owner again.
 
     Args:
@@ -222,48 +222,48 @@
     @property
     def is_idle(self) -> bool:
         """Whether no upstream has named a limit of late."""
-        return not self._notices.known
+        return not self._notices.by_upstream
 
-    def changed(self, upstream: ids.UpstreamId, now: float) -> None:
+    def update_limit(self, upstream: ids.UpstreamId, now: float) -> None:
         """Keep the limit that an upstream names now."""
         rate = self._notices.rate(upstream)
         if rate is None:
-            self._buckets.drop(upstream)
+            self._buckets.remove(upstream)
         else:
             if upstream in self._probed_at:
                 rate -= _probes(rate)
             quota = customers.Quota(rate, 0.0)
             self._buckets.set_quota(upstream, quota, now)
 
-    def decide_for(self, part: float) -> None:
+    def set_fraction(self, part: float) -> None:
         """Note for which part of all VMs this one decides."""
-        self._buckets.decide_for(part)
+        self._buckets.set_fraction(part)
 
-    def may_take(self, upstream: ids.UpstreamId, now: float) -> bool:
+    def can_acquire(self, upstream: ids.UpstreamId, now: float) -> bool:
         """Return whether an upstream may get a request now."""
-        return self._buckets.may_take(upstream, 1.0, now)
+        return self._buckets.can_acquire(upstream, 1.0, now)
 
-    def take(
+    def acquire(
         self, upstream: ids.UpstreamId, now: float
     ) -> quotas.Denied | None:
         """Count a request; return why it may not be sent."""
-        return self._buckets.take(upstream, 1.0, now)
+        return self._buckets.acquire(upstream, 1.0, now)
 
-    def take_all(
+    def acquire_all(
         self,
         upstreams: collections.abc.Sequence[ids.UpstreamId],
         now: float,
     ) -> bool:
         """Count a request to each upstream, or none if one has no room."""
         for number, upstream in enumerate(upstreams):
-            if self.take(upstream, now) is None:
+            if self.acquire(upstream, now) is None:
                 continue
             for counted in upstreams[:number]:
-                self._buckets.give_back(counted, 1.0, now)
+                self._buckets.refund(counted, 1.0, now)
             return False
         return True
 
-    def may_probe(self, upstream: ids.UpstreamId, now: float) -> bool:
+    def acquire_probe(self, upstream: ids.UpstreamId, now: float) -> bool:
         """Return whether to read the report of an upstream; count it.
 
         Reports have a part of the limit of their own: one that took the room
@@ -277,10 +277,10 @@
             return False
         self._probed_at[upstream] = now
         if probed_at is None:
-            self.changed(upstream, now)
+            self.update_limit(upstream, now)
         return True
 
-    def wait(
+    def seconds_until_room(
         self,
         upstreams: collections.abc.Collection[ids.UpstreamId],
         requests: int,
@@ -295,7 +295,7 @@
         """
         if not upstreams or not all(map(self._notices.rate, upstreams)):
             return 0.0
-        left = [self._buckets.left(key, now) for key in upstreams]
+        left = [self._buckets.available(key, now) for key in upstreams]
         if requests > _COUNTED:
             units = sum(level for level, _ in left)
             return max(0.0, requests - units) / sum(rate for _, rate in left)
@@ -307,10 +307,10 @@
             heapq.heapreplace(rooms, (at + 1 / rate, rate))
         return max(0.0, rooms[0][0])
 
-    def forget(
+    def prune(
         self, known: typing.Container[ids.UpstreamId], now: float
     ) -> None:
         """Drop upstreams that are gone."""
-        for gone in self._notices.forget(known, now):
-            self._buckets.drop(gone)
+        for gone in self._notices.prune(known, now):
+            self._buckets.remove(gone)
             self._probed_at.pop(gone, None)
--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -81,20 +81,20 @@
         """Count a plain call; return why it may not run."""
         if call.customer is None or not call.units:
             return None
-        denied = self._quotas.take(
+        denied = self._quotas.acquire(
             call.customer.name, call.units, clock.now(), told=True
         )
         self._note(call.customer.name, call.units, denied)
         if denied is not None:
             return failure(denied.why, denied.retry_after)
-        if self._quotas.must_tell(call.customer.name, self.size()):
+        if self._quotas.must_report(call.customer.name, self.size()):
             self.announce(self.take_new())
         return None
 
     def refund(self, call: calls.Call) -> None:
         """Take back the charge of a plain call that did not run."""
         if call.customer is not None and call.units:
-            self._quotas.give_back(
+            self._quotas.refund(
                 call.customer.name, call.units, clock.now(), told=True
             )
 
@@ -102,7 +102,7 @@
         """Return why a request can never run, if it is too large."""
         if call.customer is None or not call.units:
             return None
-        most = self._quotas.most(call.customer.name)
+        most = self._quotas.max_units(call.customer.name)
         if most is None or call.units <= most:
             return None
         return failure(f'{call.units:.0f} units, {most:.0f} at most', None)
@@ -115,7 +115,7 @@
         """Count a generation as the owner; return why it may not run."""
         if not units:
             return None
-        denied = self._quotas.take(customer, units, clock.now())
+        denied = self._quotas.acquire(customer, units, clock.now())
         self._note(customer, units, denied)
         return denied
 
@@ -142,23 +142,23 @@
 
     def give_back(self, customer: ids.CustomerName, units: float) -> None:
         """Take back, as the owner, what a generation was granted."""
-        self._quotas.give_back(customer, units, clock.now())
+        self._quotas.refund(customer, units, clock.now())
 
     # What gateways tell each other.
 
     def decides_for(self, part: float) -> None:
         """Note for which part of all gateways this one decides."""
-        self._quotas.decide_for(part)
+        self._quotas.set_fraction(part)
 
     def take_new(self) -> tuple[messages.Used, ...]:
         """Return what was used here since the last call, for a beat."""
-        untold = self._quotas.take_untold()
+        untold = self._quotas.take_unreported()
         return tuple(messages.Used(*item) for item in untold.items())
 
     def take(self, used: tuple[messages.Used, ...]) -> None:
         """Count what another gateway tells with its beat."""
         units = {one.customer: one.units for one in used}
-        self._quotas.used_elsewhere(units, clock.now())
+        self._quotas.record_remote_use(units, clock.now())
 
     def levels(
         self, used: tuple[messages.Used, ...]
@@ -173,14 +173,14 @@
         now = clock.now()
         if now - self._looked_at > _LOOK_EVERY:
             self._looked_at = now
-            levels = self._quotas.low(now)
+            levels = self._quotas.low_levels(now)
             self._low = tuple(messages.Level(*it) for it in levels.items())
         return self._low
 
     def hear(self, low: tuple[messages.Level, ...]) -> None:
         """Take what an owner tells."""
         levels = {one.customer: one.units for one in low}
-        self._quotas.hear(levels, clock.now())
+        self._quotas.merge_levels(levels, clock.now())
 
 
 def failure(why: str, retry_after: float | None) -> errors.Failure:
--- a/galenahatch/gateway/means.py
+++ b/galenahatch/gateway/means.py
@@ -17,7 +17,7 @@
 
 from galenahatch import clock
 from galenahatch.core import balance
-from galenahatch.core import extras
+from galenahatch.core import retrybudget
 from galenahatch.core import routes
 from galenahatch import errors
 from galenahatch.gateway import accounts as accounts_module
@@ -51,7 +51,7 @@
     directory: directories.Directory
     sender: senders.Sender
     balancer: balance.Balancer
-    budget: extras.LocalBudget
+    budget: retrybudget.LocalBudget
     ownership: ownerships.Ownership
     guard: quarantine.Guard
     accounts: accounts_module.Accounts
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -25,7 +25,7 @@
 
 from galenahatch import clock
 from galenahatch.core import balance
-from galenahatch.core import extras
+from galenahatch.core import retrybudget
 from galenahatch import errors
 from galenahatch.gateway import accounts as accounts_module
 from galenahatch.gateway import calls
@@ -118,10 +118,10 @@
         self._sender.on_head = self._answered
         self._directory.on_start(self._end_waits)
         bounds = settings.bounds
-        self._budget = extras.LocalBudget(
+        self._budget = retrybudget.LocalBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
-        self._grants = extras.OwnerBudget(
+        self._grants = retrybudget.OwnerBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
         self._accounts = accounts_module.Accounts(
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -23,12 +23,12 @@
 
 from galenahatch import clock
 from galenahatch.core import dispatch
-from galenahatch.core import extras
 from galenahatch.core import figures
 from galenahatch.core import generations
 from galenahatch.core import memory
 from galenahatch.core import quotas
 from galenahatch.core import ratelimits
+from galenahatch.core import retrybudget
 from galenahatch.gateway import accounts as accounts_module
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import frames
@@ -68,7 +68,7 @@
     def __init__(
         self,
         directory: directories.Directory,
-        budget: extras.OwnerBudget,
+        budget: retrybudget.OwnerBudget,
         accounts: accounts_module.Accounts,
         limiter: ratelimits.Limiter,
         deliver: Deliver,
--- a/galenahatch/gateway/ownership.py
+++ b/galenahatch/gateway/ownership.py
@@ -26,8 +26,8 @@
 import msgspec
 
 from galenahatch import clock
-from galenahatch.core import extras
 from galenahatch.core import ratelimits
+from galenahatch.core import retrybudget
 from galenahatch.gateway import accounts as accounts_module
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import frames
@@ -109,7 +109,7 @@
         self,
         directory: directories.Directory,
         data_centre: ids.DataCentre,
-        budget: extras.OwnerBudget,
+        budget: retrybudget.OwnerBudget,
         accounts: accounts_module.Accounts,
         limiter: ratelimits.Limiter,
         paused: collections.abc.Callable[[], dict[ids.UpstreamId, float]],
--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -118,7 +118,7 @@
         """Note that a send broke off soon after its upstream began it."""
         if not await self._sender.refuses(upstream):
             return
-        self._known.ended(call.digest, upstream.id, clock.now())
+        self._known.record_end(call.digest, upstream.id, clock.now())
         instruments.upstream_ends.add(1)
         _log.warning(
             'Upstream ended under a request.',
@@ -134,7 +134,7 @@
         """Note that a request ran whole."""
         if self._known.is_empty:
             return
-        if self._known.served(call.digest, clock.now()):
+        if self._known.record_success(call.digest, clock.now()):
             _log.info('Request cleared.', request=call.id, digest=call.digest)
             self._look()
             self.announce(self.tell())
@@ -147,7 +147,7 @@
             return ()
         return tuple(
             messages.Suspicion(one.digest, one.ends, one.age, one.cleared)
-            for one in self._known.tell(clock.now())
+            for one in self._known.make_reports(clock.now())
         )
 
     def hear(self, told: collections.abc.Iterable[messages.Suspicion]) -> None:
@@ -160,7 +160,7 @@
     def _hear(
         self, told: collections.abc.Iterable[quarantine.Suspicion]
     ) -> None:
-        self._known.hear(told, clock.now())
+        self._known.merge(told, clock.now())
         self._look()
 
     def _look(self) -> None:
@@ -211,7 +211,7 @@
             decides: whether this gateway is the owner, who writes.
         """
         while True:
-            self._known.forget(clock.now())
+            self._known.prune(clock.now())
             self._look()
             if decides():
                 await self._save()
@@ -247,7 +247,7 @@
         """Return rows to write and to remove, as many as go at once."""
         lasting = {
             one.digest: Entry(one.ends, one.cleared)
-            for one in self._known.lasting(clock.now())
+            for one in self._known.persistent_records(clock.now())
         }
         new = [
             (digest, made)
--- a/galenahatch/gateway/ratelimits.py
+++ b/galenahatch/gateway/ratelimits.py
@@ -133,7 +133,7 @@
                 )
             return
         now = clock.now()
-        if not self._notices.answered(upstream, rate, sent_at, now):
+        if not self._notices.record_answer(upstream, rate, sent_at, now):
             return
         self._changed(upstream, 'answer', head.request)
         if self._peers is not None:
@@ -142,7 +142,7 @@
     def _changed(
         self, upstream: ids.UpstreamId, source: str, request: str = ''
     ) -> None:
-        self._limiter.changed(upstream, clock.now())
+        self._limiter.update_limit(upstream, clock.now())
         self._pauses.pop(upstream, None)
         self._log_change(upstream, source, request)
 
@@ -169,7 +169,7 @@
 
     def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
-        self._limiter.forget(known, clock.now())
+        self._limiter.prune(known, clock.now())
         for gone in [key for key in self._logged_at if key not in known]:
             del self._logged_at[gone]
         for gone in [key for key in self._pauses if key not in known]:
@@ -181,20 +181,20 @@
         """Return what other gateways should know."""
         return tuple(
             records.RateLimit(one.upstream, one.rate, one.age)
-            for one in self._notices.tell(clock.now())
+            for one in self._notices.make_reports(clock.now())
         )
 
     def hear(self, told: tuple[records.RateLimit, ...]) -> None:
         """Take what another gateway tells."""
         now = clock.now()
         for one in told:
-            notice = ratelimits.Told(one.upstream, one.rate, one.age)
-            if self._notices.hear(notice, now):
+            notice = ratelimits.LimitReport(one.upstream, one.rate, one.age)
+            if self._notices.merge(notice, now):
                 self._changed(one.upstream, 'peer')
 
     def decides_for(self, part: float) -> None:
         """Note for which part of all gateways this one decides."""
-        self._limiter.decide_for(part)
+        self._limiter.set_fraction(part)
 
     def take(self, member: ids.MemberId, message: frames.AnyMessage) -> None:
         """Take a question, or the answer to one."""
@@ -229,7 +229,7 @@
         assert self._peers is not None
         pause_for = _NO_ANSWER_PAUSE
         if wait is not None:
-            pause_for = ratelimits.pause(wait, self._peers.size)
+            pause_for = ratelimits.retry_delay(wait, self._peers.size)
         room_in = _NO_ANSWER_PAUSE if wait is None else wait
         self._pauses[upstream] = _Pause(now + pause_for, now + room_in)
         self._note_held_back(upstream)
@@ -254,7 +254,7 @@
         number = next(self._numbers)
         question = asyncio.get_running_loop().create_future()
         self._questions[number] = question
-        notice = self._notices.known[upstream]
+        notice = self._notices.by_upstream[upstream]
         age = max(0.0, clock.now() - notice.at)
         limit = records.RateLimit(upstream, notice.rate, age)
         self._peers.send(owner, messages.Permit(self._peers.me, number, limit))
@@ -268,7 +268,7 @@
 
     def _decide(self, upstream: ids.UpstreamId) -> float:
         """Grant a request as the owner; return the seconds to wait, or 0."""
-        denied = self._limiter.take(upstream, clock.now())
+        denied = self._limiter.acquire(upstream, clock.now())
         if denied is None:
             return 0.0
         return denied.retry_after or _NO_ANSWER_PAUSE
@@ -277,7 +277,7 @@
         """Return the limits in force, of very many the first ones."""
         limited = [
             (upstream, notice)
-            for upstream, notice in self._notices.known.items()
+            for upstream, notice in self._notices.by_upstream.items()
             if notice.rate is not None
         ]
         return limited[:_MOST_LABELS]
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -87,7 +87,7 @@
             engine
             for engine in registry.usable(service, now)
             if not self._notices.pause_left(engine.id)
-            and self._limiter.may_probe(engine.id, now)
+            and self._limiter.acquire_probe(engine.id, now)
         ]
         replies = await asyncio.gather(
             *(
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -318,7 +318,7 @@
 def _standing(entry: quarantines.Entry) -> str:
     if entry.released:
         return 'released'
-    is_held = len(entry.ends) >= quarantine.ENDS
+    is_held = len(entry.ends) >= quarantine.END_THRESHOLD
     return 'held back' if is_held else 'suspected'
 
 
--- a/galenahatch/test/test_extras.py
+++ b/galenahatch/test/test_extras.py
@@ -19,7 +19,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from galenahatch.core import extras
+from galenahatch.core import retrybudget
 from galenahatch import ids
 
 _SERVICE = ids.ServiceName('model')
@@ -42,8 +42,8 @@
     """In each window, extras stay under the bound, also after restarts."""
     ratio, reserve, window = 0.2, 52.0, 10.0
 
-    def fresh() -> extras.LocalBudget:
-        made = extras.LocalBudget(ratio, reserve, window)
+    def fresh() -> retrybudget.LocalBudget:
+        made = retrybudget.LocalBudget(ratio, reserve, window)
         made.set_members(6)
         return made
 
@@ -89,8 +89,8 @@
     ratio, reserve, window = 0.2, 52.0, 10.0
     members = [ids.MemberId(f'm{n}') for n in range(6)]
 
-    def fresh() -> extras.OwnerBudget:
-        made = extras.OwnerBudget(ratio, reserve, window)
+    def fresh() -> retrybudget.OwnerBudget:
+        made = retrybudget.OwnerBudget(ratio, reserve, window)
         made.set_members(6)
         return made
 
@@ -125,8 +125,8 @@
 
     Divided, each VM has less than the two sends that one of them needs.
     """
-    pooled = extras.OwnerBudget(0.2, 430.0, 10.0)
-    divided = extras.LocalBudget(0.2, 430.0, 10.0)
+    pooled = retrybudget.OwnerBudget(0.2, 430.0, 10.0)
+    divided = retrybudget.LocalBudget(0.2, 430.0, 10.0)
     pooled.set_members(195)
     divided.set_members(195)
     for vm in range(194):
@@ -141,7 +141,7 @@
 
 def test_first_sends_need_no_budget() -> None:
     """What was granted in a burst does not refuse first attempts after it."""
-    budget = extras.OwnerBudget(0.2, 3.0, 10.0)
+    budget = retrybudget.OwnerBudget(0.2, 3.0, 10.0)
     for _ in range(50):
         budget.record_request(_SERVICE, 0.0)
     while budget.grant(_SERVICE, 1, 5.0):
--- a/galenahatch/test/test_quotas.py
+++ b/galenahatch/test/test_quotas.py
@@ -208,46 +208,46 @@
 def test_times_to_come_back() -> None:
     """Who is refused hears when there is room, each a time of its own."""
     known = _buckets()
-    most = known.most(_NAME)
+    most = known.max_units(_NAME)
     assert most is not None
-    assert known.take(_NAME, most, 0.0) is None
+    assert known.acquire(_NAME, most, 0.0) is None
     waits = []
     for _ in range(4):
-        denied = known.take(_NAME, 50.0, 0.0)
+        denied = known.acquire(_NAME, 50.0, 0.0)
         assert denied is not None and denied.retry_after is not None
         waits.append(denied.retry_after)
     assert waits == pytest.approx([0.5, 1.0, 1.5, 2.0])
-    assert known.take(_NAME, 50.0, waits[0]) is None
+    assert known.acquire(_NAME, 50.0, waits[0]) is None
 
 
 def test_too_large_is_told_apart() -> None:
     """A request that no bucket holds gets no time to come back."""
     known = _buckets()
-    most = known.most(_NAME)
+    most = known.max_units(_NAME)
     assert most is not None
-    denied = known.take(_NAME, most + 1, 0.0)
+    denied = known.acquire(_NAME, most + 1, 0.0)
     assert denied is not None and denied.retry_after is None
 
 
 def test_given_back() -> None:
     """What did not run may be used again, and no more than the bucket."""
     known = _buckets()
-    most = known.most(_NAME)
+    most = known.max_units(_NAME)
     assert most is not None
-    assert known.take(_NAME, most, 0.0) is None
-    known.give_back(_NAME, most, 0.0)
-    known.give_back(_NAME, most, 0.0)
-    assert known.take(_NAME, most, 0.0) is None
-    assert known.take(_NAME, 1.0, 0.0) is not None
+    assert known.acquire(_NAME, most, 0.0) is None
+    known.refund(_NAME, most, 0.0)
+    known.refund(_NAME, most, 0.0)
+    assert known.acquire(_NAME, most, 0.0) is None
+    assert known.acquire(_NAME, 1.0, 0.0) is not None
 
 
 def test_words_in_any_order() -> None:
     """Levels that come late or twice take nothing away."""
     known = _buckets()
     for level in (50.0, 80.0, 50.0):
-        known.hear({_NAME: level}, 0.0)
-    assert known.take(_NAME, 50.0, 0.0) is None
-    assert known.take(_NAME, 1.0, 0.0) is not None
+        known.merge_levels({_NAME: level}, 0.0)
+    assert known.acquire(_NAME, 50.0, 0.0) is None
+    assert known.acquire(_NAME, 1.0, 0.0) is not None
 
 
 def test_many_customers() -> None:
@@ -264,15 +264,15 @@
             float(turn),
         )
         for name in names:
-            known.take(name, 300.0, float(turn), told=True)
-        assert len(known.low(float(turn))) <= 32
-    assert len(known.take_untold()) <= 660
+            known.acquire(name, 300.0, float(turn), told=True)
+        assert len(known.low_levels(float(turn))) <= 32
+    assert len(known.take_unreported()) <= 660
 
 
 def test_unlimited_customer() -> None:
     """Without a quota nothing is counted."""
     known = _buckets()
     other = ids.CustomerName('other')
-    assert known.take(other, 1e9, 0.0, told=True) is None
-    assert known.most(other) is None
-    assert not known.take_untold()
+    assert known.acquire(other, 1e9, 0.0, told=True) is None
+    assert known.max_units(other) is None
+    assert not known.take_unreported()
--- a/galenahatch/test/test_ratelimits.py
+++ b/galenahatch/test/test_ratelimits.py
@@ -88,28 +88,28 @@
 def test_answer_from_before_lifts_nothing() -> None:
     """An answer whose request was sent before the naming is older news."""
     notices = ratelimits.Notices()
-    assert notices.answered(_UP, 2.0, 9.9, 10.0)
-    assert not notices.answered(_UP, None, 9.8, 11.0)
+    assert notices.record_answer(_UP, 2.0, 9.9, 10.0)
+    assert not notices.record_answer(_UP, None, 9.8, 11.0)
     assert notices.rate(_UP) == 2.0
-    assert notices.answered(_UP, None, 11.0, 11.1)
+    assert notices.record_answer(_UP, None, 11.0, 11.1)
     assert notices.rate(_UP) is None
 
 
 def test_lowered_and_raised() -> None:
     """The latest word counts, and a change is told as one."""
     notices = ratelimits.Notices()
-    assert notices.answered(_UP, 4.0, 0.0, 0.1)
-    assert not notices.answered(_UP, 4.0, 1.0, 1.1)
-    assert notices.answered(_UP, 2.0, 2.0, 2.1)
-    assert notices.answered(_UP, 8.0, 3.0, 3.1)
+    assert notices.record_answer(_UP, 4.0, 0.0, 0.1)
+    assert not notices.record_answer(_UP, 4.0, 1.0, 1.1)
+    assert notices.record_answer(_UP, 2.0, 2.0, 2.1)
+    assert notices.record_answer(_UP, 8.0, 3.0, 3.1)
     assert notices.rate(_UP) == 8.0
-    assert notices.known[_UP].since == 0.1
+    assert notices.by_upstream[_UP].since == 0.1
 
 
 def test_limit_of_zero_is_tried() -> None:
     """An upstream that names no room at all can still say otherwise."""
     notices = ratelimits.Notices()
-    notices.answered(_UP, 0.0, 0.0, 0.1)
+    notices.record_answer(_UP, 0.0, 0.0, 0.1)
     assert 0 < (notices.rate(_UP) or 0) <= 0.25
 
 
@@ -141,8 +141,8 @@
         for _ in range(2):
             order.shuffle(words)
             for rate, at in words:
-                told = ratelimits.Told(_UP, rate, now - at)
-                notices.hear(told, now)
+                told = ratelimits.LimitReport(_UP, rate, now - at)
+                notices.merge(told, now)
     # A word without a limit, heard first of all, is not kept.
     assert first.rate(_UP) == second.rate(_UP)
 
@@ -150,25 +150,25 @@
 def test_told_again_grows_old() -> None:
     """A limit that VMs tell each other is lifted by the first answer."""
     first, second = ratelimits.Notices(), ratelimits.Notices()
-    first.answered(_UP, 2.0, 0.0, 0.0)
+    first.record_answer(_UP, 2.0, 0.0, 0.0)
     now = 0.0
     for _ in range(100):
         now += 0.1
         for teller, hearer in ((first, second), (second, first)):
-            for told in teller.tell(now):
+            for told in teller.make_reports(now):
                 # A tenth of a second on the way.
-                hearer.hear(told, now + 0.1)
-    assert first.answered(_UP, None, 1.0, now)
-    (told,) = first.tell(now)
-    assert second.hear(told, now)
+                hearer.merge(told, now + 0.1)
+    assert first.record_answer(_UP, None, 1.0, now)
+    (told,) = first.make_reports(now)
+    assert second.merge(told, now)
 
 
 def test_limit_that_never_binds() -> None:
     """One that is above what all VMs send is none."""
     notices = ratelimits.Notices()
-    assert not notices.answered(_UP, 9e14, 0.0, 0.1)
-    notices.answered(_UP, 2.0, 1.0, 1.1)
-    assert notices.answered(_UP, 9e14, 2.0, 2.1)
+    assert not notices.record_answer(_UP, 9e14, 0.0, 0.1)
+    notices.record_answer(_UP, 2.0, 1.0, 1.1)
+    assert notices.record_answer(_UP, 9e14, 2.0, 2.1)
     assert notices.rate(_UP) is None
 
 
@@ -176,15 +176,15 @@
     """What is told at a time is bounded, and all is told in turn."""
     notices = ratelimits.Notices()
     for number in range(100):
-        notices.answered(ids.UpstreamId(f'i-{number}'), 2.0, 0.0, 0.1)
+        notices.record_answer(ids.UpstreamId(f'i-{number}'), 2.0, 0.0, 0.1)
     seen: set[ids.UpstreamId] = set()
     for _ in range(20):
-        told = notices.tell(1.0)
+        told = notices.make_reports(1.0)
         assert len(told) <= 16
         seen.update(one.upstream for one in told)
     assert len(seen) == 100
-    notices.forget((), 100.0)
-    assert not notices.known
+    notices.prune((), 100.0)
+    assert not notices.by_upstream
 
 
 # The fleet, in virtual time.
@@ -237,15 +237,15 @@
     made = ratelimits.Limiter(random.Random(1))
     for name, rate in rates.items():
         upstream = ids.UpstreamId(name)
-        made.notices.answered(upstream, rate, 0.0, 0.0)
-        made.changed(upstream, 0.0)
+        made.notices.record_answer(upstream, rate, 0.0, 0.0)
+        made.update_limit(upstream, 0.0)
     return made
 
 
 def _drain(limiter: ratelimits.Limiter, name: str, now: float) -> int:
     upstream = ids.UpstreamId(name)
     count = 0
-    while limiter.take(upstream, now) is None:
+    while limiter.acquire(upstream, now) is None:
         count += 1
     return count
 
@@ -255,7 +255,7 @@
     limiter = _limiter(read=2.0, make=2.0)
     engines = [ids.UpstreamId('read'), ids.UpstreamId('make')]
     _drain(limiter, 'make', 0.0)
-    assert not limiter.take_all(engines, 0.0)
+    assert not limiter.acquire_all(engines, 0.0)
     assert _drain(limiter, 'read', 0.0) == 2
 
 
@@ -266,18 +266,23 @@
     _drain(limiter, 'b', 0.0)
     both = [ids.UpstreamId('a'), ids.UpstreamId('b')]
     # The first bucket is left with 0.1, the other one with 0.7.
-    waits = [limiter.wait(both, requests, 0.0) for requests in (1, 2, 3, 4)]
+    waits = [
+        limiter.seconds_until_room(both, requests, 0.0)
+        for requests in (1, 2, 3, 4)
+    ]
     assert waits == pytest.approx([0.15, 0.65, 0.9, 1.15])
-    assert limiter.wait([*both, ids.UpstreamId('c')], 3, 0.0) == 0
+    assert (
+        limiter.seconds_until_room([*both, ids.UpstreamId('c')], 3, 0.0) == 0
+    )
 
 
 def test_reports_take_a_part_of_a_limit() -> None:
     """Reading reports leaves three quarters of a low limit to requests."""
     limiter = _limiter(a=1.0)
     upstream = ids.UpstreamId('a')
-    looks = [limiter.may_probe(upstream, 0.5 * n) for n in range(80)]
+    looks = [limiter.acquire_probe(upstream, 0.5 * n) for n in range(80)]
     assert sum(looks) == 10
-    assert limiter.may_probe(ids.UpstreamId('b'), 0.0)
+    assert limiter.acquire_probe(ids.UpstreamId('b'), 0.0)
 
 
 def test_restarted_upstream_has_no_limit() -> None:
@@ -292,7 +297,7 @@
 
 
 def _takes_many(limiter: ratelimits.Limiter, upstream: ids.UpstreamId) -> bool:
-    return all(limiter.take(upstream, 0.0) is None for _ in range(50))
+    return all(limiter.acquire(upstream, 0.0) is None for _ in range(50))
 
 
 def _decoding(rate: float) -> dispatch.Dispatcher:
--- a/galenahatch/test/test_suspicions.py
+++ b/galenahatch/test/test_suspicions.py
@@ -44,7 +44,9 @@
     known = quarantine.Quarantine()
     for digest, engines in ends.items():
         for engine in engines:
-            known.ended(ids.RequestDigest(digest), ids.UpstreamId(engine), 0)
+            known.record_end(
+                ids.RequestDigest(digest), ids.UpstreamId(engine), 0
+            )
     return known
 
 
@@ -73,19 +75,19 @@
 def test_whole_run_clears() -> None:
     """What ran whole is not what ended the engines, also later."""
     known = _known(sound='AB')
-    assert known.served(_SOUND, 1.0)
+    assert known.record_success(_SOUND, 1.0)
     for engine in 'CDEFG':
-        known.ended(_SOUND, ids.UpstreamId(engine), 2.0)
+        known.record_end(_SOUND, ids.UpstreamId(engine), 2.0)
     assert not known.held
     assert not known.is_suspect(_SOUND)
-    assert not known.served(_SOUND, 3.0)
+    assert not known.record_success(_SOUND, 3.0)
 
 
 def test_whole_run_of_a_held_request_clears_it() -> None:
     """A run that was under way as it was held tells that it is sound."""
     known = _known(sound='ABC')
     assert known.held == {_SOUND}
-    known.served(_SOUND, 1.0)
+    known.record_success(_SOUND, 1.0)
     assert not known.held
 
 
@@ -109,12 +111,12 @@
 ) -> None:
     """Gateways that heard the same agree, however often they heard it."""
     first = quarantine.Quarantine()
-    first.hear(told, 0.0)
+    first.merge(told, 0.0)
     again = [*told, *told]
     source.shuffle(again)
     second = quarantine.Quarantine()
     for one in again:
-        second.hear([one], 0.0)
+        second.merge([one], 0.0)
     assert first.held == second.held
 
 
@@ -123,11 +125,11 @@
     one = quarantine.Quarantine()
     other = quarantine.Quarantine()
     for number in range(100):
-        one.ended(ids.RequestDigest(f'{number}'), _engine(number), 0.0)
+        one.record_end(ids.RequestDigest(f'{number}'), _engine(number), 0.0)
     for beat in range(20):
-        told = one.tell(10.0 + beat)
+        told = one.make_reports(10.0 + beat)
         assert len(told) <= 16
-        other.hear(told, 10.0 + beat)
+        other.merge(told, 10.0 + beat)
     assert all(
         other.is_suspect(ids.RequestDigest(f'{number}'))
         for number in range(100)
@@ -138,18 +140,18 @@
     """What was just seen is in the very next message."""
     known = quarantine.Quarantine()
     for number in range(100):
-        known.ended(ids.RequestDigest(f'{number}'), _engine(number), 0.0)
-    known.ended(_GUILTY, _engine(0), 50.0)
-    assert _GUILTY in {one.digest for one in known.tell(50.1)}
+        known.record_end(ids.RequestDigest(f'{number}'), _engine(number), 0.0)
+    known.record_end(_GUILTY, _engine(0), 50.0)
+    assert _GUILTY in {one.digest for one in known.make_reports(50.1)}
 
 
 def test_more_ends_than_are_kept_are_no_news() -> None:
     """Two gateways that kept other ends of a request come to rest."""
     known = _known(guilty='ABCDEFGH')
     for number in range(100):
-        known.ended(ids.RequestDigest(f'{number}'), _engine(number), 0.0)
-    known.hear([quarantine.Suspicion(_GUILTY, (1, 2, 3))], 10.0)
-    assert _GUILTY not in {one.digest for one in known.tell(10.1)}
+        known.record_end(ids.RequestDigest(f'{number}'), _engine(number), 0.0)
+    known.merge([quarantine.Suspicion(_GUILTY, (1, 2, 3))], 10.0)
+    assert _GUILTY not in {one.digest for one in known.make_reports(10.1)}
     assert known.held == {_GUILTY}
 
 
@@ -157,21 +159,24 @@
     """An end of a hundred runs does not hide the one that ended three."""
     known = quarantine.Quarantine()
     for number in range(100):
-        known.ended(ids.RequestDigest(f'{number}'), _engine(0), 10.0)
+        known.record_end(ids.RequestDigest(f'{number}'), _engine(0), 10.0)
     for engine in range(3):
-        known.ended(_GUILTY, _engine(engine), 10.0)
-    assert _GUILTY in {one.digest for one in known.tell(10.0)}
+        known.record_end(_GUILTY, _engine(engine), 10.0)
+    assert _GUILTY in {one.digest for one in known.make_reports(10.0)}
 
 
 def test_forgotten_after_its_time() -> None:
     """Ages travel: nobody keeps a request alive by telling of it."""
     first, second = _known(guilty='ABC'), quarantine.Quarantine()
-    almost = quarantine.LIFE - 1.0
-    second.hear(first.lasting(almost), almost)
+    almost = quarantine.RECORD_LIFE_S - 1.0
+    second.merge(first.persistent_records(almost), almost)
     assert second.held == {_GUILTY}
-    second.forget(quarantine.LIFE + 1.0)
+    second.prune(quarantine.RECORD_LIFE_S + 1.0)
     assert not second.held
-    second.hear(first.lasting(quarantine.LIFE + 1.0), quarantine.LIFE + 1.0)
+    second.merge(
+        first.persistent_records(quarantine.RECORD_LIFE_S + 1.0),
+        quarantine.RECORD_LIFE_S + 1.0,
+    )
     assert not second.held
 
 
@@ -179,11 +184,13 @@
     """Ends of many engines at once fill no memory; who is held stays."""
     known = _known(guilty='ABC')
     for number in range(3000):
-        known.ended(ids.RequestDigest(f'{number}'), _engine(number), 1.0)
-    known.forget(2.0)
+        known.record_end(ids.RequestDigest(f'{number}'), _engine(number), 1.0)
+    known.prune(2.0)
     assert known.held == {_GUILTY}
-    assert len(known.lasting(2.0)) == 1
-    told = {one.digest for beat in range(200) for one in known.tell(9.0)}
+    assert len(known.persistent_records(2.0)) == 1
+    told = {
+        one.digest for beat in range(200) for one in known.make_reports(9.0)
+    }
     assert len(told) <= 1024
 
 
@@ -355,12 +362,12 @@
         ended = {place.engine for digest, place in runs if digest == _GUILTY}
         for digest, place in runs:
             if place.engine in ended:
-                known.ended(digest, place.engine, 0.0)
+                known.record_end(digest, place.engine, 0.0)
             else:
-                known.served(digest, 0.0)
+                known.record_success(digest, 0.0)
                 left.remove(digest)
         names = [
             _engine(next(starts)) if name in ended else name for name in names
         ]
         assert known.held <= {_GUILTY}
-    assert known.ends(_GUILTY) == quarantine.ENDS
+    assert known.ends(_GUILTY) == quarantine.END_THRESHOLD
