--- a/bench/limits.py
+++ b/bench/limits.py
@@ -94,7 +94,7 @@
         gateway = up[0] if self._load.at_one else self._random.choice(up)
         if self._way is not fleets.Way.OWNER:
             denied = gateway.quotas.acquire(
-                fleets.NAME, units, self.now, told=True
+                fleets.NAME, units, self.now, report_use=True
             )
             if gateway.quotas.must_report(fleets.NAME, self._size):
                 self._tell(gateway)
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -317,7 +317,9 @@
         gateway = up[0] if self._load.at_one else self._random.choice(up)
         is_local = self._way is not Way.OWNER or units == _CALL
         where = gateway if is_local else self._of(gateway.group)[0]
-        denied = where.quotas.acquire(NAME, units, self.now, told=is_local)
+        denied = where.quotas.acquire(
+            NAME, units, self.now, report_use=is_local
+        )
         if is_local and where.quotas.must_report(NAME, self._size):
             self._tell(where)
         self._asked.append((self.now, units, denied is None))
--- a/galenahatch/core/quotas.py
+++ b/galenahatch/core/quotas.py
@@ -208,7 +208,7 @@
         name: Key,
         units: float,
         now: float,
-        told: bool = False,
+        report_use: bool = False,
     ) -> Denied | None:
         """Take a request's units; return why it may not run.
 
@@ -227,7 +227,7 @@
             return Denied(None, why)
         if not self._has_room(bucket, units):
             return self._denied(bucket, units, now)
-        if told:
+        if report_use:
             self._untold[name] = self._untold.get(name, 0.0) + units
         return None
 
@@ -291,7 +291,7 @@
         name: Key,
         units: float,
         now: float,
-        told: bool = False,
+        report_use: bool = False,
     ) -> None:
         """Return the units of a request that did not run."""
         bucket = self._buckets.get(name)
@@ -299,7 +299,7 @@
             return
         bucket.fill(now)
         bucket.set_level(bucket.level + units / bucket.share(self._part))
-        if told:
+        if report_use:
             self._untold[name] = self._untold.get(name, 0.0) - units
 
     def max_units(self, name: Key) -> float | None:
--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -82,7 +82,7 @@
         if call.customer is None or not call.units:
             return None
         denied = self._quotas.acquire(
-            call.customer.name, call.units, clock.now(), told=True
+            call.customer.name, call.units, clock.now(), report_use=True
         )
         self._note(call.customer.name, call.units, denied)
         if denied is not None:
@@ -95,7 +95,7 @@
         """Take back the charge of a plain call that did not run."""
         if call.customer is not None and call.units:
             self._quotas.refund(
-                call.customer.name, call.units, clock.now(), told=True
+                call.customer.name, call.units, clock.now(), report_use=True
             )
 
     def check_size(self, call: calls.Call) -> errors.Failure | None:
--- a/galenahatch/test/test_quotas.py
+++ b/galenahatch/test/test_quotas.py
@@ -264,7 +264,7 @@
             float(turn),
         )
         for name in names:
-            known.acquire(name, 300.0, float(turn), told=True)
+            known.acquire(name, 300.0, float(turn), report_use=True)
         assert len(known.low_levels(float(turn))) <= 32
     assert len(known.take_unreported()) <= 660
 
@@ -273,6 +273,6 @@
     """Without a quota nothing is counted."""
     known = _buckets()
     other = ids.CustomerName('other')
-    assert known.acquire(other, 1e9, 0.0, told=True) is None
+    assert known.acquire(other, 1e9, 0.0, report_use=True) is None
     assert known.max_units(other) is None
     assert not known.take_unreported()
