--- a/galenahatch/core/balance.py
+++ b/galenahatch/core/balance.py
@@ -10,15 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Choice of an upstream of a plain service by one VM, on its own.
-
-Each VM sees its own requests in flight and the load that each answer tells.
-An upstream whose answers fail more often than those of its best sibling
-(`core/outliers`) counts as busier than it is, by so much that it is used
-only when its siblings are full. There is no limit on how many are avoided
-so: if all fail alike, nobody is, and as long as one serves well it is better
-than those that don't. Requests that may be repeated avoid it less, so they
-find out when it is well again.
+"""Chooses an upstream for a plain request on one VM.
+
+Each VM decides on its own, from its requests in flight and the load that
+upstreams report in their answers. An upstream whose requests fail more often
+than those of its best sibling (`core/outliers`) is charged extra load, so that
+it is used only once its siblings are full. There is no limit on how many
+upstreams are avoided this way: if all fail alike, none is avoided, and as long
+as one serves well it is preferred to those that don't. Requests that may be
+repeated carry a smaller penalty, so that they detect a recovery.
 """
 
 import dataclasses
@@ -29,36 +29,36 @@
 from galenahatch.core import upstreams
 from galenahatch import ids
 
-_AVOID_ONCE: typing.Final = 12.0
-"""Load, in parts of an upstream's slots, that a share of failures of 1 is
-worth to a request that may run only once. One that loses a fifth of its
-requests is used when its siblings have a queue of twice their slots, some 45
+_FAILURE_WEIGHT_ONCE: typing.Final = 12.0
+"""Load, in multiples of an upstream's slots, that a failure share of 1 adds
+for a request that may run only once. An upstream that fails a fifth of its
+requests is used once its siblings have a queue of twice their slots, about 45
 ms at the users' services."""
-_AVOID_REPEATABLE: typing.Final = 6.0
+_FAILURE_WEIGHT_REPEATABLE: typing.Final = 6.0
 """The same for a request that a second upstream may run."""
-_AVOIDED: typing.Final = 0.1
-"""Excess of failures from which on an upstream is called avoided in logs:
-more than a queue of its slots."""
-_LOAD_LIFE: typing.Final = 1.0
-"""Seconds for which the load that an answer tells is believed."""
-_AWAY: typing.Final = 0.2
-"""Weight, in requests, of an upstream in another data centre."""
+_AVOIDED_EXCESS: typing.Final = 0.1
+"""Excess failure share above which an upstream is logged as avoided: it adds
+more load than a queue as long as its slots."""
+_LOAD_MAX_AGE_S: typing.Final = 1.0
+"""Seconds after which a reported load is ignored."""
+_REMOTE_WEIGHT: typing.Final = 0.2
+"""Load, in requests, added for an upstream in another data centre."""
 
 
 @dataclasses.dataclass
 class _State:
     in_flight: int = 0
-    told: int = 0
-    told_at: float = -1e9
+    reported_load: int = 0
+    reported_at: float = -1e9
     avoided: bool = False
 
 
 class Balancer:
-    """What one VM knows of the upstreams of plain services.
+    """Load and failures of the plain services' upstreams as seen by one VM.
 
     Args:
-        random_source: breaks ties.
-        data_centre: of this VM.
+        random_source: Random source that breaks ties.
+        data_centre: Data centre of this VM.
     """
 
     def __init__(
@@ -76,54 +76,61 @@
         now: float,
         repeatable: bool = False,
     ) -> upstreams.Upstream | None:
-        """Return the upstream that is likely to answer soonest and well."""
-        allowed = [c for c in candidates if c.id not in avoid]
+        """Return the upstream with the least load and failures."""
+        allowed = [
+            candidate for candidate in candidates if candidate.id not in avoid
+        ]
         if not allowed:
             return None
-        weight = _AVOID_REPEATABLE if repeatable else _AVOID_ONCE
-        shares = [self.outliers.share(c.id, now) for c in allowed]
-        usual = min(share.likely for share in shares)
-
-        def cost(at: int) -> tuple[float, float]:
-            excess = max(0.0, shares[at].least - usual)
-            load = self._load(allowed[at], now)
+        weight = (
+            _FAILURE_WEIGHT_REPEATABLE if repeatable else _FAILURE_WEIGHT_ONCE
+        )
+        shares = [
+            self.outliers.share(candidate.id, now) for candidate in allowed
+        ]
+        baseline = min(share.likely for share in shares)
+
+        def cost(index: int) -> tuple[float, float]:
+            excess = max(0.0, shares[index].least - baseline)
+            load = self._load(allowed[index], now)
             return load + weight * excess, self._random.random()
 
         return allowed[min(range(len(allowed)), key=cost)]
 
     def begin(self, upstream: ids.UpstreamId) -> None:
-        """Note a request that is sent."""
+        """Record that a request is sent."""
         self._state(upstream).in_flight += 1
 
     def cancel(self, upstream: ids.UpstreamId) -> None:
-        """Note a send whose caller left: it tells nothing of the upstream."""
+        """Record that the caller of a request disconnected."""
         state = self._state(upstream)
         state.in_flight = max(0, state.in_flight - 1)
 
     def end(
         self,
         upstream: ids.UpstreamId,
-        good: bool,
+        succeeded: bool,
         siblings: typing.Sequence[upstreams.Upstream],
         now: float,
     ) -> bool | None:
-        """Note how a send ended.
+        """Record the outcome of a request.
 
         Args:
-            upstream: that it went to.
-            good: whether it was answered, and without an error.
-            siblings: all upstreams of the service.
-            now: monotonic seconds.
+            upstream: Upstream that the request was sent to.
+            succeeded: Whether the upstream answered without an error.
+            siblings: All upstreams of the service.
+            now: Monotonic time in seconds.
 
         Returns:
-            whether the upstream is avoided, if that has changed; else None.
+            Whether the upstream is avoided, if that has changed; None
+            otherwise.
         """
         self.cancel(upstream)
-        self.outliers.record(upstream, good, now)
+        self.outliers.record(upstream, succeeded, now)
         shares = [self.outliers.share(s.id, now) for s in siblings]
-        usual = min((share.likely for share in shares), default=0.0)
-        excess = self.outliers.share(upstream, now).least - usual
-        avoided = excess > _AVOIDED
+        baseline = min((share.likely for share in shares), default=0.0)
+        excess = self.outliers.share(upstream, now).least - baseline
+        avoided = excess > _AVOIDED_EXCESS
         state = self._state(upstream)
         if avoided == state.avoided:
             return None
@@ -133,25 +140,25 @@
     def record_load(
         self, upstream: ids.UpstreamId, load: int, now: float
     ) -> None:
-        """Take the load that an answer told."""
+        """Record the load that an upstream reported in an answer."""
         state = self._state(upstream)
-        state.told = load
-        state.told_at = now
+        state.reported_load = load
+        state.reported_at = now
 
-    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
-        """Drop upstreams that are gone."""
-        self.outliers.prune(known)
-        for gone in [key for key in self._states if key not in known]:
-            del self._states[gone]
+    def prune(self, present: typing.Container[ids.UpstreamId]) -> None:
+        """Drop upstreams that are no longer listed."""
+        self.outliers.prune(present)
+        for upstream in [key for key in self._states if key not in present]:
+            del self._states[upstream]
 
     def _load(self, upstream: upstreams.Upstream, now: float) -> float:
-        """Return the load in parts of the upstream's slots."""
+        """Return the load as a multiple of the upstream's slots."""
         state = self._state(upstream.id)
         load = float(state.in_flight)
-        if now - state.told_at < _LOAD_LIFE:
-            load = max(load, load * 0.5 + state.told)
+        if now - state.reported_at < _LOAD_MAX_AGE_S:
+            load = max(load, load * 0.5 + state.reported_load)
         if upstream.data_centre != self._data_centre:
-            load += _AWAY
+            load += _REMOTE_WEIGHT
         return load / max(1, upstream.slots)
 
     def _state(self, upstream: ids.UpstreamId) -> _State:
--- a/galenahatch/core/events.py
+++ b/galenahatch/core/events.py
@@ -10,52 +10,52 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Splits a stream of server-sent events into whole events.
+"""Splits a byte stream of server-sent events into complete events.
 
-An engine may stop in the middle of an event, so nothing is passed on before
-its event is complete. The id of the last whole event is kept: a stream can
-be resumed after it.
+An engine may stop in the middle of an event, so nothing is passed on until its
+event is complete. The id of the last complete event is kept, so that the
+stream can be resumed after it.
 """
 
 import re
 import typing
 
-_END: typing.Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
-_ID: typing.Final = re.compile(rb'(?:^|[\r\n])id: ?([^\r\n]*)')
+_EVENT_END: typing.Final = re.compile(rb'\r\n\r\n|\n\n|\r\r')
+_EVENT_ID: typing.Final = re.compile(rb'(?:^|[\r\n])id: ?([^\r\n]*)')
 
 
 class EventSplitter:
-    """Whole events of one stream.
+    """Parser for the events of one stream.
 
     Attributes:
-        last_id: id of the last whole event; empty before the first.
-        count: whole events so far.
+        last_id: Id of the last complete event; empty before the first.
+        count: Number of complete events so far.
     """
 
     def __init__(self) -> None:
         self.last_id = ''
         self.count = 0
-        self._rest = b''
+        self._buffer = b''
 
     @property
     def partial(self) -> bytes:
-        """Bytes of an event that is not whole yet."""
-        return self._rest
+        """Bytes of the incomplete event at the end."""
+        return self._buffer
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes; return those of whole events."""
-        data = self._rest + data
+        """Add bytes; return those that complete events."""
+        data = self._buffer + data
         end = 0
-        for match in _END.finditer(data):
+        for match in _EVENT_END.finditer(data):
             block = data[end : match.end()]
             end = match.end()
             self.count += 1
-            found = _ID.search(block)
-            if found is not None:
-                self.last_id = found.group(1).decode('latin-1')
-        self._rest = data[end:]
+            id_field = _EVENT_ID.search(block)
+            if id_field is not None:
+                self.last_id = id_field.group(1).decode('latin-1')
+        self._buffer = data[end:]
         return data[:end]
 
     def drop_partial(self) -> None:
-        """Drop what is not whole: another engine goes on."""
-        self._rest = b''
+        """Drop the incomplete event: another engine continues the stream."""
+        self._buffer = b''
--- a/galenahatch/core/fate.py
+++ b/galenahatch/core/fate.py
@@ -10,24 +10,24 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What is known of one send of a request to an upstream.
+"""Tracks whether a request may have run at an upstream.
 
-A refusal that promises "not run" may only be told to a caller if no send
-of the request can have begun. The rules that decide this stand here, apart
-from sockets, so that they can be tested on their own.
+A caller may be told "not run" only if no attempt can have begun. The rules
+that decide this are kept apart from sockets, so that they can be tested on
+their own.
 """
 
 import enum
 
 
 class Fate(enum.Enum):
-    """What became of one send.
+    """Outcome of one attempt.
 
     Attributes:
-        NOT_SENT: no byte reached an upstream.
-        REFUSED: the upstream said that it did not run the request.
-        UNCERTAIN: it may have run; no whole answer came.
-        ANSWERED: the upstream ran it and answered.
+        NOT_SENT: No byte reached an upstream.
+        REFUSED: The upstream replied that it did not run the request.
+        UNCERTAIN: The request may have run; no complete answer arrived.
+        ANSWERED: The upstream ran the request and answered.
     """
 
     NOT_SENT = 'not_sent'
@@ -37,39 +37,39 @@
 
 
 class Sends:
-    """All sends of one request.
+    """All attempts of one request.
 
     Attributes:
-        ran: sends that ran or may have run.
+        ran: Number of attempts that ran or may have run.
     """
 
     def __init__(self) -> None:
         self.ran = 0
-        self._open = False
+        self._in_flight = False
 
     @property
     def cannot_have_run(self) -> bool:
         """Whether no upstream has begun the request, nor ever will."""
-        return not self.ran and not self._open
+        return not self.ran and not self._in_flight
 
     def begin(self) -> None:
-        """Note that bytes may leave from now on."""
-        self._open = True
+        """Record that bytes may be sent from now on."""
+        self._in_flight = True
 
-    def end(self, fate: Fate) -> None:
-        """Note what became of the send that was begun."""
-        self._open = False
-        if fate in (Fate.UNCERTAIN, Fate.ANSWERED):
+    def end(self, outcome: Fate) -> None:
+        """Record the outcome of the attempt in flight."""
+        self._in_flight = False
+        if outcome in (Fate.UNCERTAIN, Fate.ANSWERED):
             self.ran += 1
 
     def may_send(self, repeatable: bool, max_attempts: int) -> bool:
-        """Return whether another send is allowed.
+        """Return whether another attempt is allowed.
 
         Args:
-            repeatable: whether the request may run more than once.
-            max_attempts: upstreams that may run it.
+            repeatable: Whether the request may run more than once.
+            max_attempts: Number of upstreams that may run it.
         """
-        if self._open:
+        if self._in_flight:
             return False
         if not self.ran:
             return True
--- a/galenahatch/core/latency.py
+++ b/galenahatch/core/latency.py
@@ -10,115 +10,119 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What a prompt takes at a prefill engine: a fixed delay, and a rate.
+"""Model of the prefill time: a fixed delay plus the tokens over a rate.
 
-The time until a result is there is `delay + tokens / rate`. Only the second
-part surely keeps the engine busy: an engine whose result comes 0.1 s after it
-was read may read the next prompt meanwhile. Dividing tokens by the whole
-time takes that delay for work, and finds an engine half as fast as it is.
+A result is available after `delay + tokens / rate`. Only the second part is
+certain to occupy the engine: one whose result arrives 0.1 s after the prompt
+was read may read the next prompt in the meantime. Dividing the tokens by the
+total time counts that delay as work and underestimates the rate by half.
 
-Both parts come from a resistant line (Tukey): the newest prefills, ordered
-by tokens, are cut in three, and the line goes through the medians of the
-outer two. A prompt that the engine still keeps, and one that waited in its
-queue, move a median little, where they bend a line of least squares.
+Both parts are fitted by a resistant line (Tukey): the newest prefills, sorted
+by tokens, are split in three, and the line goes through the medians of the
+outer thirds. Outliers, such as prompts that the engine has cached or that
+waited in its queue, shift a median little but distort a least-squares fit.
 """
 
 import collections
 import statistics
 import typing
 
-_WINDOW: typing.Final = 45
-"""Prefills that count. Thirds of 15 bear five outliers at most; the window
-turns over in about five seconds at one engine in steady use."""
+_WINDOW_SIZE: typing.Final = 45
+"""Prefills in the sample. Thirds of 15 tolerate up to five outliers; the
+window turns over in about five seconds at one engine in steady use."""
 MIN_SAMPLES: typing.Final = 15
-"""Prefills from which on a plan rests on the slope; thirds of five."""
-_LEAST_FOR_SLOPE: typing.Final = 6
-"""Prefills from which on there is a slope at all; thirds of two. Without one
-all of the time is taken for work, and half of what an engine with a delay can
-read is refused: a new owner sees few prompts alone when it starts in a
-burst."""
-_LEAST_FOR_RATE: typing.Final = 3
-"""Prefills from which on there is a rate at all. The first one after all VMs
-have restarted waits behind what other owners placed: taken for the rate, it
-showed an engine to be six times as slow as it is, and for five seconds nearly
-all callers were refused before engines that stood at a fifth of their memory.
-"""
-_MOST_WORK: typing.Final = 4.0
-"""Times that a rate may exceed tokens by the whole time: no delay of more
-than three times the reading is told from so few."""
-_LEAST_SPREAD: typing.Final = 1.5
-"""Times that the large prompts must exceed the small ones for a slope: below
-that, an error of a tenth in a time is one of a half in the slope."""
+"""Prefills needed before the slope is used for planning; thirds of five."""
+_MIN_SLOPE_SAMPLES: typing.Final = 6
+"""Prefills needed for any slope; thirds of two. Without a slope the whole time
+counts as work, and half of what an engine with a delay can read is refused: a
+new owner that starts in a burst sees few prompts alone at an engine."""
+_MIN_RATE_SAMPLES: typing.Final = 3
+"""Prefills needed for any rate. The first one after all VMs have restarted
+waits behind prompts that other owners placed: used as the rate, it made an
+engine look six times as slow as it was, and for five seconds nearly all
+callers were refused while engines used a fifth of their memory."""
+_MAX_RATE_RATIO: typing.Final = 4.0
+"""Upper bound on the rate, as a multiple of tokens over total time: so few
+samples can't show a delay of more than three times the reading time."""
+_MIN_SIZE_RATIO: typing.Final = 1.5
+"""Least ratio of large to small prompts that allows a slope: below it, an
+error of 10% in a time becomes one of 50% in the slope."""
 
 
 class Line(typing.NamedTuple):
-    """Time by tokens.
+    """Prefill time as a linear function of the prompt's tokens.
 
     Attributes:
-        delay: seconds that each prompt takes, whatever its size.
-        rate: tokens a second beyond that.
+        delay: Seconds that each prompt takes regardless of its size.
+        rate: Tokens a second beyond the delay.
     """
 
     delay: float
     rate: float
 
     def seconds(self, tokens: float) -> float:
-        """Return how long a prompt takes."""
+        """Return the prefill time of a prompt."""
         return self.delay + tokens / self.rate
 
 
 class Latency:
-    """The newest prefills of a service."""
+    """Fit of the newest prefills of a service."""
 
     def __init__(self) -> None:
-        self._seen: collections.deque[tuple[int, float]] = collections.deque(
-            maxlen=_WINDOW
+        self._samples: collections.deque[tuple[int, float]] = (
+            collections.deque(maxlen=_WINDOW_SIZE)
         )
 
     @property
     def has_slope(self) -> bool:
         """Whether there are enough prefills for a slope."""
-        return len(self._seen) >= _LEAST_FOR_SLOPE
+        return len(self._samples) >= _MIN_SLOPE_SAMPLES
 
-    def add_sample(self, tokens: int, seconds: float, believed: Line) -> Line:
-        """Take a prefill; return the line through the newest ones.
+    def add_sample(self, tokens: int, seconds: float, prior: Line) -> Line:
+        """Add a prefill; return the line fitted to the newest ones.
 
         Args:
-            tokens: of the prompt.
-            seconds: that it took.
-            believed: line whose slope goes on to hold if they show none.
+            tokens: Tokens of the prompt.
+            seconds: Seconds that the prefill took.
+            prior: Line whose slope is kept if the samples show none.
         """
-        self._seen.append((tokens, seconds))
-        if len(self._seen) < _LEAST_FOR_RATE:
-            return believed
+        self._samples.append((tokens, seconds))
+        if len(self._samples) < _MIN_RATE_SAMPLES:
+            return prior
         rate = self._slope()
-        if rate is None and believed.delay > 0:
-            rate = believed.rate
+        if rate is None and prior.delay > 0:
+            rate = prior.rate
         if rate is not None:
-            delay = statistics.median(s - t / rate for t, s in self._seen)
+            delay = statistics.median(
+                time - size / rate for size, time in self._samples
+            )
             if delay > 0:
                 return Line(delay, rate)
-        # Nothing shows a delay: all of the time is taken for work.
-        return Line(0.0, statistics.median(t / s for t, s in self._seen))
+        # Without evidence of a delay, the whole time counts as work.
+        return Line(
+            0.0, statistics.median(size / time for size, time in self._samples)
+        )
 
     def _slope(self) -> float | None:
         """Return tokens a second between small and large prompts."""
         if not self.has_slope:
             return None
-        ordered = sorted(self._seen, key=lambda seen: seen[0])
+        ordered = sorted(self._samples, key=lambda sample: sample[0])
         third = len(ordered) // 3
         small, small_seconds = _medians(ordered[:third])
         large, large_seconds = _medians(ordered[-third:])
-        rises = large_seconds > small_seconds
-        if not rises or large < _LEAST_SPREAD * small:
+        is_rising = large_seconds > small_seconds
+        if not is_rising or large < _MIN_SIZE_RATIO * small:
             return None
         rate = (large - small) / (large_seconds - small_seconds)
-        whole = statistics.median(t / s for t, s in self._seen)
-        return min(rate, _MOST_WORK * whole)
+        median_rate = statistics.median(
+            size / time for size, time in self._samples
+        )
+        return min(rate, _MAX_RATE_RATIO * median_rate)
 
 
 def _medians(
-    seen: typing.Sequence[tuple[int, float]],
+    samples: typing.Sequence[tuple[int, float]],
 ) -> tuple[float, float]:
-    tokens, seconds = zip(*seen, strict=True)
+    tokens, seconds = zip(*samples, strict=True)
     return statistics.median(tokens), statistics.median(seconds)
--- a/galenahatch/core/lengths.py
+++ b/galenahatch/core/lengths.py
@@ -10,95 +10,97 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Predicted lengths of answers.
+"""Predicts the lengths of answers.
 
-Callers estimate how long an answer will be, right in the middle and often
-far off. The prediction lies between the estimate and the usual length, as
-far towards the estimate as estimates have been worth lately: the slope of a
-running regression in logarithms. With estimates off by a factor of 1.7, as
-measured on the users' engines, half the spread of the prediction error goes.
+Callers' estimates of the answer length are unbiased but often far off. The
+prediction lies between the estimate and the mean length, weighted by how
+reliable estimates have been recently: the slope of a running regression of
+logarithms. For estimates that are off by a factor of 1.7, as at the users'
+engines, this halves the spread of the prediction error.
 """
 
 import math
 import typing
 
 _DECAY: typing.Final = 0.995
-"""Weight of what was learnt at each new length; some 200 lengths count."""
-_FIRST_SLOPE: typing.Final = 0.5
-_SLOPE_WEIGHT: typing.Final = 2.0
-"""How much evidence the first slope counts for, in squared logarithms; that
-of about eight requests."""
+"""Factor applied to the weight of earlier samples with each new one; about 200
+samples count."""
+_PRIOR_SLOPE: typing.Final = 0.5
+_PRIOR_WEIGHT: typing.Final = 2.0
+"""Weight of the prior slope, in squared logarithms; equal to that of about
+eight requests."""
 INITIAL_SPREAD: typing.Final = 0.3
-"""Spread of the answers before four were seen. Not measured: it holds for
-the first four answers of an owner only."""
-_LEAST: typing.Final = 4
-"""Lengths seen before the usual length counts."""
+"""Relative prediction error assumed for the first four answers of an owner."""
+_MIN_SAMPLES: typing.Final = 4
+"""Samples needed before the mean length is used."""
 
 
 class Lengths:
-    """What is known of the answers of one service."""
+    """Regression of answer lengths on callers' estimates, for one service."""
 
     def __init__(self) -> None:
         self._count = 0
         self._weight = 0.0
         self._mean_hint = 0.0
         self._mean_length = 0.0
-        self._hint_hint = 0.0
-        self._hint_length = 0.0
-        self._length_length = 0.0
+        self._hint_squares = 0.0
+        self._cross_products = 0.0
+        self._length_squares = 0.0
 
     def add_sample(self, hint: int, length: int) -> None:
-        """Take a caller's estimate and what came of it, in tokens."""
+        """Add a caller's estimate and the actual length, in tokens."""
         if hint <= 0 or length <= 0:
             return
-        x = math.log(hint)
-        y = math.log(length)
+        log_hint = math.log(hint)
+        log_length = math.log(length)
         self._count += 1
         self._weight = self._weight * _DECAY + 1
-        off_x = x - self._mean_hint
-        off_y = y - self._mean_length
-        self._mean_hint += off_x / self._weight
-        self._mean_length += off_y / self._weight
-        self._hint_hint = self._hint_hint * _DECAY + off_x * (
-            x - self._mean_hint
+        hint_error = log_hint - self._mean_hint
+        length_error = log_length - self._mean_length
+        self._mean_hint += hint_error / self._weight
+        self._mean_length += length_error / self._weight
+        self._hint_squares = self._hint_squares * _DECAY + hint_error * (
+            log_hint - self._mean_hint
         )
-        self._hint_length = self._hint_length * _DECAY + off_x * (
-            y - self._mean_length
+        self._cross_products = self._cross_products * _DECAY + hint_error * (
+            log_length - self._mean_length
         )
-        self._length_length = self._length_length * _DECAY + off_y * (
-            y - self._mean_length
+        self._length_squares = self._length_squares * _DECAY + length_error * (
+            log_length - self._mean_length
         )
 
     @property
     def spread(self) -> float:
-        """How far lengths lie from their predictions, in parts of those."""
-        if self._count < _LEAST:
+        """Standard deviation of lengths, relative to their predictions."""
+        if self._count < _MIN_SAMPLES:
             return INITIAL_SPREAD
-        rest = self._length_length - self._slope() * self._hint_length
-        return math.sqrt(math.expm1(max(0.0, rest) / self._weight))
+        residual = self._length_squares - self._slope() * self._cross_products
+        return math.sqrt(math.expm1(max(0.0, residual) / self._weight))
 
     def _slope(self) -> float:
-        """Return how far a prediction follows the estimate, 0 to 1."""
-        slope = (self._hint_length + _FIRST_SLOPE * _SLOPE_WEIGHT) / (
-            self._hint_hint + _SLOPE_WEIGHT
+        """Return the weight of the estimate in a prediction, 0 to 1."""
+        slope = (self._cross_products + _PRIOR_SLOPE * _PRIOR_WEIGHT) / (
+            self._hint_squares + _PRIOR_WEIGHT
         )
         return min(1.0, max(0.0, slope))
 
-    def predict(self, hint: int, most: int) -> int:
-        """Return the predicted length, the mean of what may come.
+    def predict(self, hint: int, max_length: int) -> int:
+        """Return the expected length in tokens.
 
         Args:
-            hint: the caller's estimate, 0 if it gave none.
-            most: bound on the length.
+            hint: The caller's estimate; 0 if it gave none.
+            max_length: Upper bound on the length.
         """
-        if self._count < _LEAST:
-            return max(1, min(hint or most // 2, most))
-        y = self._mean_length
+        if self._count < _MIN_SAMPLES:
+            return max(1, min(hint or max_length // 2, max_length))
+        log_length = self._mean_length
         explained = 0.0
         if hint > 0:
             slope = self._slope()
-            x = math.log(min(hint, most))
-            y += slope * (x - self._mean_hint)
-            explained = slope * self._hint_length
-        rest = max(0.0, self._length_length - explained) / self._weight
-        return max(1, min(most, round(math.exp(y + rest / 2))))
+            log_hint = math.log(min(hint, max_length))
+            log_length += slope * (log_hint - self._mean_hint)
+            explained = slope * self._cross_products
+        residual = max(0.0, self._length_squares - explained) / self._weight
+        return max(
+            1, min(max_length, round(math.exp(log_length + residual / 2)))
+        )
--- a/galenahatch/core/outliers.py
+++ b/galenahatch/core/outliers.py
@@ -10,15 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Share of the sends to each upstream that failed of late, over all VMs.
+"""Failure rate of each upstream over all VMs.
 
 One VM sends an upstream a request every second or less and needs several to
-tell bad luck from a fault. So each VM tells the owner with its beats what
-its sends came to, and hears the sum of all with the answer. A VM's own sends
-count twice that way, which is wanted: an upstream may fail only the callers
-of one data centre.
+tell a fault from chance. So each VM reports the outcomes of its requests to
+the owner with its heartbeats and receives the totals with the reply. A VM's
+own requests count twice that way, which is intended: an upstream may fail only
+the callers of one data centre.
 
-Times are monotonic seconds; there is no input or output here.
+Times are monotonic seconds; this module does no I/O.
 """
 
 import dataclasses
@@ -27,28 +27,28 @@
 
 from galenahatch import ids
 
-_MEMORY: typing.Final = 3.0
-"""Seconds in which an outcome loses all but a third of its weight. Faults of
-upstreams last about five. Two of three that lose a third of their requests
-took 9.8 of 200 requests of one VM with 2 s, 7.8 with 3 s, 6.0 with 4 s."""
-_BENEFIT: typing.Final = 4.0
-"""Sends without a failure that each upstream is given, so that one failure
-counts as a share of a fifth."""
+_DECAY_S: typing.Final = 3.0
+"""Seconds in which an outcome's weight decays to a third. Faults of upstreams
+last about 5 s. With two of three upstreams failing a third of their requests,
+9.8 of 200 requests of one VM fail at 2 s, 7.8 at 3 s, 6.0 at 4 s."""
+_PRIOR_SUCCESSES: typing.Final = 4.0
+"""Successful requests assumed for each upstream, so that a single failure
+counts as a failure share of a fifth."""
 
 
 class Count(typing.NamedTuple):
-    """What some sends came to."""
+    """Decayed number of requests and failures."""
 
     sends: float
     failures: float
 
 
 class Share(typing.NamedTuple):
-    """Part of an upstream's sends that failed, from 0 to 1.
+    """Failure share of an upstream, from 0 to 1.
 
     Attributes:
-        likely: as counted.
-        least: by one standard deviation less; the rest may be bad luck.
+        likely: Share as counted.
+        least: Lower bound: one standard deviation below `likely`.
     """
 
     likely: float
@@ -60,103 +60,108 @@
 
 
 @dataclasses.dataclass
-class _Fading:
-    """A count that loses weight with time."""
+class _DecayingCount:
+    """A count whose weight decays exponentially with time."""
 
     count: Count
     at: float
 
-    def seen(self, now: float) -> Count:
-        return _faded(self.count, now - self.at)
+    def value(self, now: float) -> Count:
+        return _decayed(self.count, now - self.at)
 
-    def add(self, more: Count, now: float) -> None:
-        before = self.seen(now)
+    def add(self, added: Count, now: float) -> None:
+        current = self.value(now)
         self.count = Count(
-            before.sends + more.sends, before.failures + more.failures
+            current.sends + added.sends, current.failures + added.failures
         )
         self.at = now
 
 
-def _faded(count: Count, age: float) -> Count:
-    """Return what is left of a count after some seconds."""
-    left = math.exp(-max(0.0, age) / _MEMORY)
-    return Count(count.sends * left, count.failures * left)
+def _decayed(count: Count, age: float) -> Count:
+    """Return a count decayed by some seconds."""
+    factor = math.exp(-max(0.0, age) / _DECAY_S)
+    return Count(count.sends * factor, count.failures * factor)
 
 
 class Tally:
-    """Outcomes of sends, the newest counting most."""
+    """Outcomes by upstream, recent ones weighted most."""
 
     def __init__(self) -> None:
-        self._fading: dict[ids.UpstreamId, _Fading] = {}
+        self._counts: dict[ids.UpstreamId, _DecayingCount] = {}
 
-    def add(self, upstream: ids.UpstreamId, more: Count, now: float) -> None:
-        """Take what some sends came to."""
-        found = self._fading.get(upstream)
-        if found is None:
-            self._fading[upstream] = _Fading(more, now)
+    def add(self, upstream: ids.UpstreamId, added: Count, now: float) -> None:
+        """Add the outcomes of some requests."""
+        existing = self._counts.get(upstream)
+        if existing is None:
+            self._counts[upstream] = _DecayingCount(added, now)
         else:
-            found.add(more, now)
+            existing.add(added, now)
 
     def get(self, upstream: ids.UpstreamId, now: float) -> Count:
-        """Return what counts now."""
-        found = self._fading.get(upstream)
-        return found.seen(now) if found is not None else EMPTY_COUNT
+        """Return the decayed count of an upstream."""
+        existing = self._counts.get(upstream)
+        return existing.value(now) if existing is not None else EMPTY_COUNT
 
     def failing(self, now: float) -> Counts:
-        """Return the upstreams that failed, with what counts of them now.
+        """Return the decayed counts of the upstreams with failures.
 
-        Upstreams without a failure need not be told: their share is zero,
-        whatever their sends.
+        Upstreams without a failure need not be reported: their share is zero,
+        however many requests they get.
         """
-        seen = {key: one.seen(now) for key, one in self._fading.items()}
-        return {key: count for key, count in seen.items() if count.failures}
+        values = {key: entry.value(now) for key, entry in self._counts.items()}
+        return {key: count for key, count in values.items() if count.failures}
 
-    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
-        """Drop upstreams that are gone."""
-        for gone in [key for key in self._fading if key not in known]:
-            del self._fading[gone]
+    def prune(self, present: typing.Container[ids.UpstreamId]) -> None:
+        """Drop upstreams that are no longer listed."""
+        for upstream in [key for key in self._counts if key not in present]:
+            del self._counts[upstream]
 
 
 class Outliers:
-    """What one VM knows of failures: its own, and the sums of all."""
+    """Outcomes that one VM saw itself, and the totals of all VMs."""
 
     def __init__(self) -> None:
         self._own = Tally()
-        self._new: Counts = {}
-        self._told: Counts = {}
-        self._told_at = -math.inf
-
-    def record(self, upstream: ids.UpstreamId, good: bool, now: float) -> None:
-        """Take what a send of this VM came to."""
-        count = Count(1.0, 0.0 if good else 1.0)
+        self._unreported: Counts = {}
+        self._totals: Counts = {}
+        self._totals_at = -math.inf
+
+    def record(
+        self, upstream: ids.UpstreamId, succeeded: bool, now: float
+    ) -> None:
+        """Record the outcome of a request of this VM."""
+        count = Count(1.0, 0.0 if succeeded else 1.0)
         self._own.add(upstream, count, now)
-        before = self._new.get(upstream, EMPTY_COUNT)
-        self._new[upstream] = Count(
-            before.sends + count.sends, before.failures + count.failures
+        unreported = self._unreported.get(upstream, EMPTY_COUNT)
+        self._unreported[upstream] = Count(
+            unreported.sends + count.sends,
+            unreported.failures + count.failures,
         )
 
     def take_unreported(self) -> Counts:
-        """Return what came since the last call, to be told."""
-        new = self._new
-        self._new = {}
-        return new
+        """Return the outcomes since the last call, to be reported."""
+        unreported = self._unreported
+        self._unreported = {}
+        return unreported
 
-    def set_totals(self, told: Counts, now: float) -> None:
-        """Take the sums of all VMs."""
-        self._told = told
-        self._told_at = now
+    def set_totals(self, totals: Counts, now: float) -> None:
+        """Set the totals of all VMs."""
+        self._totals = totals
+        self._totals_at = now
 
     def share(self, upstream: ids.UpstreamId, now: float) -> Share:
-        """Return the part of the sends that failed."""
+        """Return the failure share of an upstream."""
         own = self._own.get(upstream, now)
-        told = self._told.get(upstream, EMPTY_COUNT)
-        told = _faded(told, now - self._told_at)
-        sends = own.sends + told.sends + _BENEFIT
-        share = (own.failures + told.failures) / sends
+        total = self._totals.get(upstream, EMPTY_COUNT)
+        total = _decayed(total, now - self._totals_at)
+        sends = own.sends + total.sends + _PRIOR_SUCCESSES
+        share = (own.failures + total.failures) / sends
         return Share(share, share - math.sqrt(share * (1 - share) / sends))
 
-    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
-        """Drop upstreams that are gone."""
-        self._own.prune(known)
-        for gone in [key for key in self._new if key not in known]:
-            del self._new[gone]
+    def prune(self, present: typing.Container[ids.UpstreamId]) -> None:
+        """Drop upstreams that are no longer listed."""
+        self._own.prune(present)
+        for upstream in [
+            key for key in self._unreported if key not in present
+        ]:
+            del self._unreported[upstream]
--- a/galenahatch/core/pace.py
+++ b/galenahatch/core/pace.py
@@ -10,75 +10,82 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""How long a token takes, by the runs that an engine makes tokens for.
+"""Time per output token by the batch size of a decode engine.
 
-A batch takes longer the more runs are in it. What engines end when they are
-full can't be read from the pace that they show while they are half empty:
-with steps that double towards a full engine, decode engines looked twice as
-fast as they are, and were made prefill engines before a burst.
+Larger batches take longer for a token. What a full engine can complete does
+not follow from its pace while half empty: with step times that double towards
+a full engine, decode engines looked twice as fast as they were and were turned
+into prefill engines before a burst.
 
-A line through what was seen, the newest counting most, tells the pace beside
-any number of runs. Its slope is held back as long as there is little to tell
-it from, and no token is believed to become cheaper beside more runs.
+A regression line, recent samples weighted most, gives the pace at any batch
+size. A prior keeps the slope small while there is little evidence, and the
+slope is never negative.
 """
 
 import typing
 
-_TOKENS: typing.Final = 20_000.0
-"""Tokens over which what was seen fades: some 40 answers of 500, so that a
+_DECAY_TOKENS: typing.Final = 20_000.0
+"""Tokens over which samples decay: about 40 answers of 500 tokens, so that the
 slope outlasts a lull and follows a change of engines within a minute."""
-_LEAST_SPREAD: typing.Final = 1.0
-"""Variance of the number of runs for which the slope counts by half: numbers
-that differ by one tell no more than the granularity of events hides."""
+_VARIANCE_PRIOR: typing.Final = 1.0
+"""Variance of the batch size at which the slope counts by half: sizes that
+differ by one reveal no more than the granularity of events hides."""
 
 
 class Pace:
-    """What the decode engines of a service have shown.
+    """Regression of the time per token on the batch size, for one service.
 
     Attributes:
-        tokens: from which it was learnt, of engines that are gone as well.
+        sampled_tokens: Tokens sampled so far, including those of engines that
+            are gone.
     """
 
     def __init__(self) -> None:
         self.sampled_tokens = 0
         self._weight = 0.0
-        self._runs = 0.0
-        self._seconds = 0.0
-        self._runs_runs = 0.0
-        self._runs_seconds = 0.0
+        self._mean_runs = 0.0
+        self._mean_seconds = 0.0
+        self._runs_variance = 0.0
+        self._covariance = 0.0
 
     def add_sample(self, runs: float, tokens: int, seconds: float) -> None:
-        """Take what a run made.
+        """Add the tokens that one run generated.
 
         Args:
-            runs: that its engine had, itself included.
-            tokens: that it made.
-            seconds: that they took.
+            runs: Batch size of the engine, this run included.
+            tokens: Number of tokens generated.
+            seconds: Seconds that they took.
         """
         self.sampled_tokens += tokens
-        keep = max(0.0, 1 - tokens / _TOKENS)
+        keep = max(0.0, 1 - tokens / _DECAY_TOKENS)
         self._weight = self._weight * keep + tokens
         share = tokens / self._weight
-        off_runs = runs - self._runs
-        off_seconds = seconds / tokens - self._seconds
-        self._runs += share * off_runs
-        self._seconds += share * off_seconds
-        rest = (1 - share) * off_runs
-        self._runs_runs += share * (rest * off_runs - self._runs_runs)
-        self._runs_seconds += share * (rest * off_seconds - self._runs_seconds)
+        runs_error = runs - self._mean_runs
+        seconds_error = seconds / tokens - self._mean_seconds
+        self._mean_runs += share * runs_error
+        self._mean_seconds += share * seconds_error
+        weighted_error = (1 - share) * runs_error
+        self._runs_variance += share * (
+            weighted_error * runs_error - self._runs_variance
+        )
+        self._covariance += share * (
+            weighted_error * seconds_error - self._covariance
+        )
 
     def slowdown(self, before: float, after: float) -> float:
-        """Return by what factor a token takes longer beside more runs.
+        """Return the factor by which a token takes longer in another batch.
 
         Args:
-            before: runs of the engine now.
-            after: runs for which the factor is asked.
+            before: Present batch size.
+            after: Batch size to compare with.
         """
-        now = self._at(before)
-        return self._at(after) / now if now > 0 else 1.0
+        current = self._pace_at(before)
+        return self._pace_at(after) / current if current > 0 else 1.0
 
-    def _at(self, runs: float) -> float:
-        spread = self._runs_runs + _LEAST_SPREAD
-        slope = max(0.0, self._runs_seconds / spread)
-        least = self._seconds / 4
-        return max(least, self._seconds + slope * (runs - self._runs))
+    def _pace_at(self, runs: float) -> float:
+        variance = self._runs_variance + _VARIANCE_PRIOR
+        slope = max(0.0, self._covariance / variance)
+        floor = self._mean_seconds / 4
+        return max(
+            floor, self._mean_seconds + slope * (runs - self._mean_runs)
+        )
--- a/galenahatch/core/retrybudget.py
+++ b/galenahatch/core/retrybudget.py
@@ -10,20 +10,20 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The retry budget that all VMs share.
+"""Retry budgets shared by all VMs.
 
-The bound is on a sliding window: sends beyond the first of each request
-stay under `ratio` x requests + `reserve`, for a service, over all VMs.
+The bound applies to a sliding window: for each service, the retries of all VMs
+stay below `ratio` x requests + `reserve`.
 
-For plain services each VM keeps a part of it that needs no message for a
-retry (`SharedBudget`): the ratio of its own requests, and its share of the
-reserve. Shares are of the largest number of VMs seen, halved, since a VM that
-restarts forgets what it has spent.
+For plain services each VM holds a share of the budget that needs no message
+for a retry (`LocalBudget`): the ratio of its own requests and its share of the
+reserve. Shares are based on the largest number of VMs seen, and halved, since
+a VM that restarts forgets what it has spent.
 
-A generation asks the owner for engines anyway, again for each further
-attempt, so the owner keeps one budget for all VMs (`GrantedBudget`). Divided
-among 195 VMs, a reserve of 430 is less than one send for each, and where an
-engine broke off ten streams nearly all of them ended for want of budget.
+A generation asks the owner for engines anyway, again for each retry, so the
+owner keeps one budget for all VMs (`OwnerBudget`). Divided among 195 VMs, a
+reserve of 430 is less than one retry for each, and where an engine broke off
+ten streams nearly all of them failed for lack of budget.
 """
 
 import collections
@@ -31,20 +31,22 @@
 
 from galenahatch import ids
 
-_MARGIN: typing.Final = 0.8
-"""Part of the bound that is used; the rest covers windows that begin
+_USED_FRACTION: typing.Final = 0.8
+"""Fraction of the bound that is used; the rest covers windows that start
 between two of ours."""
-_RESTARTS: typing.Final = 2.0
-"""Times that a VM may spend its share of the reserve in one window: before
-a restart and after it."""
-_OWNERS: typing.Final = 3
-"""Owners that may grant in one window: two may follow another at once."""
-_HEARD: typing.Final = 2.0
-"""Seconds after its last beat for which a VM is one of an owner's."""
+_RESTART_FACTOR: typing.Final = 2.0
+"""Times that a VM may spend its share of the reserve in one window: before a
+restart and after it."""
+_MAX_OWNERS: typing.Final = 3
+"""Owners that may grant retries in one window: ownership may change twice in a
+row."""
+_MEMBER_TIMEOUT_S: typing.Final = 2.0
+"""Seconds after its last heartbeat for which an owner counts a VM as its own.
+"""
 
 
-class _Window:
-    """Counts events of the last seconds."""
+class _SlidingWindow:
+    """Counts the events of the last seconds."""
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
@@ -60,111 +62,120 @@
 
 
 class LocalBudget:
-    """Sends beyond the first that this VM may make.
+    """Retries that this VM may make.
 
     Args:
-        ratio: extra sends for each request.
-        reserve: extra sends in any window, over all VMs.
-        window: seconds.
+        ratio: Retries allowed for each request.
+        reserve: Further retries allowed in any window, over all VMs.
+        window: Length of the window in seconds.
     """
 
     def __init__(self, ratio: float, reserve: float, window: float) -> None:
         self._ratio = ratio
         self._reserve = reserve
         self._window = window
-        self._requests: dict[ids.ServiceName, _Window] = {}
-        self._extras: dict[ids.ServiceName, _Window] = {}
+        self._requests: dict[ids.ServiceName, _SlidingWindow] = {}
+        self._retries: dict[ids.ServiceName, _SlidingWindow] = {}
         self._members = 1
 
     def set_members(self, members: int) -> None:
-        """Note how many VMs may share; the largest number counts."""
+        """Set the number of VMs that share the budget; the largest counts."""
         self._members = max(self._members, members)
 
     def record_request(self, service: ids.ServiceName, now: float) -> None:
-        """Note a request of a caller."""
-        _window(self._requests, service, self._window).add(now)
+        """Record a request of a caller."""
+        _get_window(self._requests, service, self._window).add(now)
 
     def spend(self, service: ids.ServiceName, now: float) -> bool:
-        """Take one extra send; return False when none is left."""
-        extras = _window(self._extras, service, self._window)
-        if extras.count(now) + 1 > self._allowed(service, now):
+        """Spend one retry; return False if the budget is exhausted."""
+        retries = _get_window(self._retries, service, self._window)
+        if retries.count(now) + 1 > self._allowed(service, now):
             return False
-        extras.add(now)
+        retries.add(now)
         return True
 
     def record_unbudgeted(self, service: ids.ServiceName, now: float) -> None:
-        """Note an extra send that was made without asking."""
-        _window(self._extras, service, self._window).add(now)
+        """Record a retry that was made without asking the budget."""
+        _get_window(self._retries, service, self._window).add(now)
 
     def _allowed(self, service: ids.ServiceName, now: float) -> float:
-        requests = _window(self._requests, service, self._window).count(now)
-        share = self._reserve / self._members / _RESTARTS
-        return _MARGIN * (self._ratio * requests + share)
+        requests = _get_window(self._requests, service, self._window).count(
+            now
+        )
+        share = self._reserve / self._members / _RESTART_FACTOR
+        return _USED_FRACTION * (self._ratio * requests + share)
 
 
 class OwnerBudget:
-    """Sends beyond the first that one owner grants to all VMs.
+    """Retries that one owner grants to all VMs.
 
-    Two owners that can't reach each other grant to different VMs. So each
-    has the ratio of the requests that it was asked for, and of the reserve a
-    part for the VMs that it hears: those beat to it four times a second.
+    Two owners that can't reach each other grant retries to different VMs. So
+    each has the ratio of the requests it was asked for and, of the reserve, a
+    share for the VMs whose heartbeats it receives, four a second from each.
 
     Args:
-        ratio: extra sends for each request.
-        reserve: extra sends in any window, over all VMs.
-        window: seconds.
+        ratio: Retries allowed for each request.
+        reserve: Further retries allowed in any window, over all VMs.
+        window: Length of the window in seconds.
     """
 
     def __init__(self, ratio: float, reserve: float, window: float) -> None:
         self._ratio = ratio
-        self._reserve = reserve / _OWNERS
+        self._reserve = reserve / _MAX_OWNERS
         self._window = window
-        self._requests: dict[ids.ServiceName, _Window] = {}
-        self._extras: dict[ids.ServiceName, _Window] = {}
-        self._heard: dict[ids.MemberId, float] = {}
+        self._requests: dict[ids.ServiceName, _SlidingWindow] = {}
+        self._retries: dict[ids.ServiceName, _SlidingWindow] = {}
+        self._heard_at: dict[ids.MemberId, float] = {}
         self._members = 1
 
     def set_members(self, members: int) -> None:
-        """Note how many VMs there may be; the largest number counts."""
+        """Set the number of VMs that there may be; the largest counts."""
         self._members = max(self._members, members)
 
     def record_heartbeat(self, member: ids.MemberId, now: float) -> None:
-        """Note a beat of another VM."""
-        self._heard[member] = now
+        """Record a heartbeat of another VM."""
+        self._heard_at[member] = now
 
     def record_request(self, service: ids.ServiceName, now: float) -> None:
-        """Note a request of a caller."""
-        _window(self._requests, service, self._window).add(now)
+        """Record a request of a caller."""
+        _get_window(self._requests, service, self._window).add(now)
 
     def grant(self, service: ids.ServiceName, sends: int, now: float) -> bool:
-        """Grant all of some extra sends, or none.
+        """Grant all of the retries asked for, or none.
 
-        A prompt that is read once more and whose run then lacks the budget
-        would have been read for nothing. No extra send needs no budget, also
-        when more was granted than is allowed by now.
+        A prompt that is read again is wasted if its run then lacks the budget.
+        Asking for none always succeeds, even when more was granted than is
+        allowed by now.
         """
         if not sends:
             return True
-        extras = _window(self._extras, service, self._window)
-        if extras.count(now) + sends > self._allowed(service, now):
+        retries = _get_window(self._retries, service, self._window)
+        if retries.count(now) + sends > self._allowed(service, now):
             return False
         for _ in range(sends):
-            extras.add(now)
+            retries.add(now)
         return True
 
     def _allowed(self, service: ids.ServiceName, now: float) -> float:
-        requests = _window(self._requests, service, self._window).count(now)
-        heard = 1 + sum(now - at < _HEARD for at in self._heard.values())
-        share = min(1.0, heard / self._members)
-        return _MARGIN * (self._ratio * requests + self._reserve * share)
-
-
-def _window(
-    windows: dict[ids.ServiceName, _Window],
+        requests = _get_window(self._requests, service, self._window).count(
+            now
+        )
+        live = 1 + sum(
+            now - heard_at < _MEMBER_TIMEOUT_S
+            for heard_at in self._heard_at.values()
+        )
+        share = min(1.0, live / self._members)
+        return _USED_FRACTION * (
+            self._ratio * requests + self._reserve * share
+        )
+
+
+def _get_window(
+    windows: dict[ids.ServiceName, _SlidingWindow],
     service: ids.ServiceName,
     seconds: float,
-) -> _Window:
+) -> _SlidingWindow:
     window = windows.get(service)
     if window is None:
-        window = windows[service] = _Window(seconds)
+        window = windows[service] = _SlidingWindow(seconds)
     return window
