--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -17,13 +17,13 @@
 
 import typing
 
-from galenahatch.core import division as divisions
 from galenahatch.core import forecast as forecasts
 from galenahatch.core import generations
 from galenahatch.core import pool as pools
 from galenahatch.core import ratelimits
-from galenahatch.core import returns as returns_module
-from galenahatch.core import waiting
+from galenahatch.core import rebalancing as divisions
+from galenahatch.core import retryafter as returns_module
+from galenahatch.core import waitqueue
 
 _CAUTION: typing.Final = 1.3
 """Times the predicted wait that a request must have left to be kept. What is
@@ -48,10 +48,10 @@
     def __init__(
         self,
         pool: pools.Pool,
-        queue: waiting.Waiting,
+        queue: waitqueue.WaitQueue,
         forecast: forecasts.Forecast,
-        returns: returns_module.Returns,
-        division: divisions.Division,
+        returns: returns_module.RetrySchedule,
+        division: divisions.Rebalancer,
         limiter: ratelimits.Limiter,
     ) -> None:
         self._pool = pool
@@ -71,20 +71,22 @@
             before: requests that are served before it, beside the queue.
             now: monotonic seconds.
         """
-        if self._limiter.is_idle and not job.paused:
+        if self._limiter.is_idle and not job.paused_until:
             return 0.0
         engines = self._pool.usable_decodes(job, now)
         if not engines:
-            ends = (job.paused.get(key, now) for key in self._pool.decodes)
+            ends = (
+                job.paused_until.get(key, now) for key in self._pool.decodes
+            )
             return max(0.0, min(ends, default=now) - now)
         found = [engine.upstream.id for engine in engines]
         requests = len(self._queue) + before + 1
-        return self._limiter.wait(found, requests, now)
+        return self._limiter.seconds_until_room(found, requests, now)
 
     def is_limited(self, job: Job, now: float) -> bool:
         """Return whether the wishes of engines let no run start in time."""
-        wait = self._until_room(job, self._returns.due(now), now)
-        return wait > 0 and now + wait > job.start_by
+        wait = self._until_room(job, self._returns.due_count(now), now)
+        return wait > 0 and now + wait > job.start_deadline
 
     def queue_or_refuse(
         self, job: Job, now: float
@@ -92,12 +94,12 @@
         """Decide on a request that could not be placed so far."""
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
-        if job.kept:
+        if job.is_committed:
             return None
-        wait = _CAUTION * self._forecast.wait(job, 1, now)
-        if now + wait > waiting.limit(job):
+        wait = _CAUTION * self._forecast.predict_wait(job, 1, now)
+        if now + wait > waitqueue.first_event_limit(job):
             return self.queue_late(job, wait, now)
-        self._queue.keep(job)
+        self._queue.commit(job)
         return None
 
     def queue_late(
@@ -110,31 +112,33 @@
         """
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
-        owed = 1 + self._returns.due(now)
-        late = self._forecast.late_wait(job, owed, now)
-        is_in_vain = now + late > job.leaves_at
-        if is_in_vain and not self._queue.is_probe(job, now):
-            return self.refuse(job, self._forecast.why(job, wait), now)
-        self._queue.keep(job, is_late=True)
+        owed = 1 + self._returns.due_count(now)
+        late = self._forecast.predict_late_wait(job, owed, now)
+        is_in_vain = now + late > job.abandon_at
+        if is_in_vain and not self._queue.take_probe(job, now):
+            return self.refuse(
+                job, self._forecast.describe_refusal(job, wait), now
+            )
+        self._queue.commit(job, is_late=True)
         return None
 
     def refuse(self, job: Job, why: str, now: float) -> generations.Refused:
         """Give a request up, and promise when there is room for it."""
-        self._division.is_short(now)
-        rate = self._forecast.rate()
+        self._division.record_refusal(now)
+        rate = self._forecast.service_rate()
         queued = len(self._queue) / rate if rate else 0.0
         # Who was told to come later than its caller can wait does not come.
         until_room = max(
             self._until_room(job, 0, now),
             min(
-                self._until_room(job, self._returns.promised, now),
+                self._until_room(job, self._returns.outstanding, now),
                 job.deadline - now,
             ),
         )
-        queued = max(queued, self._pool.next_trial(now), until_room)
-        wait = self._returns.promise(
-            job.subject,
-            self._forecast.spare(now),
+        queued = max(queued, self._pool.seconds_to_next_trial(now), until_room)
+        wait = self._returns.schedule(
+            job.fingerprint,
+            self._forecast.spare_rate(now),
             queued,
             job.deadline - now,
             job.arrived_at,
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -21,7 +21,7 @@
 will be served before its caller leaves, and is refused at once otherwise,
 with the time at which there is room. One that may still start in time is
 decided on a moment later, while a refusal costs its caller nothing yet. What
-is kept is served before all that came after it (`core/waiting`). Time counts
+is kept is served before all that came after it (`core/waitqueue`). Time counts
 from a caller's first attempt: who comes back has waited already.
 
 Times are monotonic seconds, passed in; there is no input or output here.
@@ -32,7 +32,7 @@
 import typing
 
 from galenahatch.core import admission
-from galenahatch.core import division as divisions
+from galenahatch.core import decodeprefill
 from galenahatch.core import figures
 from galenahatch.core import forecast
 from galenahatch.core import generations
@@ -41,13 +41,13 @@
 from galenahatch.core import placements
 from galenahatch.core import pool
 from galenahatch.core import ratelimits
-from galenahatch.core import reading
-from galenahatch.core import returns
+from galenahatch.core import rebalancing as divisions
+from galenahatch.core import retryafter
 from galenahatch.core import upstreams
-from galenahatch.core import waiting
+from galenahatch.core import waitqueue
 from galenahatch import ids
 
-LOOKAHEAD: typing.Final = 0.02
+PREFILL_LOOKAHEAD_S: typing.Final = 0.02
 """Seconds of work that a prefill engine may have ahead; the rest waits in
 the queue, where it can still be reordered."""
 _RECHECK: typing.Final = 0.02
@@ -78,13 +78,13 @@
             limiter = ratelimits.Limiter(random.Random())
         self._limiter = limiter
         self._pool = pool.Pool(capacity, slots, limiter)
-        self._measures = figures.Measures()
-        self._returns = returns.Returns()
-        self._queue = waiting.Waiting(self._measures)
+        self._measures = figures.Estimator()
+        self._returns = retryafter.RetrySchedule()
+        self._queue = waitqueue.WaitQueue(self._measures)
         self._forecast = forecast.Forecast(
             self._pool, self._measures, self._queue
         )
-        self._division = divisions.Division(
+        self._division = divisions.Rebalancer(
             self._pool, self._measures, self._forecast
         )
         self._admission = admission.Admission(
@@ -98,12 +98,12 @@
         self._placements: dict[ids.StreamId, placements.Placement] = {}
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Requests in the queue."""
         return len(self._queue)
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Runs placed and not ended."""
         return len(self._placements)
 
@@ -113,14 +113,14 @@
         return self._pool
 
     @property
-    def division(self) -> divisions.Division:
+    def rebalancer(self) -> divisions.Rebalancer:
         """How many engines should be at each stage."""
         return self._division
 
     @property
-    def measured(self) -> figures.Figures:
+    def measured_figures(self) -> figures.Figures:
         """What was measured so far."""
-        self._measures.note_pace(
+        self._measures.record_pace(
             self._pool.mean_pace(self._measures.figures.pace)
         )
         return self._measures.figures
@@ -141,10 +141,10 @@
             now: monotonic seconds.
         """
         present = list(engines)
-        self._division.present((e.id for e in present), leaving, now)
+        self._division.set_engines((e.id for e in present), leaving, now)
         self._pool.set_engines(present, self._measures.figures.pace, now)
 
-    def adopt(self, told: figures.Figures) -> None:
+    def adopt_figures(self, told: figures.Figures) -> None:
         """Take what another owner has measured, if it has seen more."""
         if not self._measures.adopt(told):
             return
@@ -152,36 +152,41 @@
             if not engine.memory.runs:
                 engine.memory.pace = told.pace
 
-    def changes(
+    def plan_stage_changes(
         self, now: float
     ) -> list[tuple[upstreams.Upstream, upstreams.Stage]]:
         """Return the engines whose stage should change."""
-        return self._division.changes(bool(self._queue), now)
+        return self._division.plan_stage_changes(bool(self._queue), now)
 
     # The life of a request.
 
     def submit(self, job: Job, now: float) -> generations.Decision | None:
         """Take a request; return a decision if it is refused at once."""
-        first_at = self._returns.came(job.subject)
+        first_at = self._returns.record_arrival(job.fingerprint)
         returned = first_at is not None
-        output = self._measures.lengths.predict(job.hint, job.most)
-        job = dataclasses.replace(job, output=output, returned=returned)
+        output = self._measures.lengths.predict(
+            job.output_hint, job.max_output
+        )
+        job = dataclasses.replace(
+            job, predicted_output=output, is_retry=returned
+        )
         if first_at is not None:
             job = dataclasses.replace(
-                job, start_by=job.start_by - job.arrived_at + first_at
+                job,
+                start_deadline=job.start_deadline - job.arrived_at + first_at,
             )
-        self._measures.note_size(job.prompt, job.output)
+        self._measures.record_size(job.prompt_tokens, job.predicted_output)
         if not returned:
-            self._measures.note_arrival(now)
+            self._measures.record_arrival(now)
         self._forget(job.stream, now)
         if not self._pool.decodes:
             return self._admission.refuse(job, 'no_engine', now)
-        if not job.going_on:
+        if not job.is_continuation:
             if self._admission.is_limited(job, now):
                 return self._admission.refuse(job, 'engines_hold_back', now)
-            owed = 1 + self._returns.due(now)
-            wait = self._forecast.wait(job, owed, now)
-            if now + wait > waiting.limit(job):
+            owed = 1 + self._returns.due_count(now)
+            wait = self._forecast.predict_wait(job, owed, now)
+            if now + wait > waitqueue.first_event_limit(job):
                 return self._admission.queue_late(job, wait, now)
         self._queue.add(job)
         return None
@@ -196,17 +201,17 @@
         lacks = 0
         for job in self._queue.in_order(now):
             decision: generations.Decision | None = None
-            if self._queue.is_hopeless(job, now):
+            if self._queue.cannot_finish(job, now):
                 decision = self._admission.refuse(job, 'no_time_left', now)
-            elif lacks < forecast.LOOKED_AT:
+            elif lacks < forecast.MAX_JOBS_CHECKED:
                 found = self._place(job, now)
                 if isinstance(found, generations.Placed):
                     decision = found
                 else:
                     lacks += self._lacks(found, job, now)
-            is_due = waiting.is_due(job, now) or waiting.has_become_late(
+            is_due = waitqueue.needs_decision(
                 job, now
-            )
+            ) or waitqueue.has_missed_start(job, now)
             if decision is None and is_due:
                 decision = self._admission.queue_or_refuse(job, now)
             if decision is not None:
@@ -217,16 +222,18 @@
     def _lacks(self, lack: generations.Lack, job: Job, now: float) -> int:
         """Return how many of those behind need not be looked at."""
         if lack is generations.Lack.MEMORY:
-            return forecast.LOOKED_AT
-        if lack is generations.Lack.PREFILL and waiting.has_waited(job, now):
-            self._division.reading_lags(now)
+            return forecast.MAX_JOBS_CHECKED
+        if lack is generations.Lack.PREFILL and waitqueue.is_wait_noticeable(
+            job, now
+        ):
+            self._division.record_prefill_wait(now)
         return 1
 
-    def next_look(self, now: float) -> float | None:
+    def next_decision_at(self, now: float) -> float | None:
         """Return when `decide` should be called again; None if idle."""
         return now + _RECHECK if len(self._queue) else None
 
-    def prefilled(
+    def record_prefill(
         self, stream: ids.StreamId, tokens: int, seconds: float, now: float
     ) -> None:
         """Note that a prompt was read, and how long it took."""
@@ -234,31 +241,31 @@
         placement = self._placements.get(stream)
         if placement is None or placement.prefill is None:
             return
-        if placement.is_alone:
-            self._measures.note_prefill(tokens, seconds)
-        placement.read_at = now
-        self._pool.answered(placement.prefill, stream, seconds, now)
-        alone = self._pool.read(
+        if placement.had_idle_prefill:
+            self._measures.record_prefill(tokens, seconds)
+        placement.prefilled_at = now
+        self._pool.record_result(placement.prefill, stream, seconds, now)
+        alone = self._pool.record_overlap(
             placement.prefill,
             placement.placed_at,
             tokens,
-            self._measures.line,
+            self._measures.prefill_line,
             self._measures.figures.alone,
             now,
         )
         if alone is not None:
-            self._measures.note_overlap(alone)
+            self._measures.record_overlap(alone)
 
-    def started(self, stream: ids.StreamId, now: float) -> None:
+    def record_first_event(self, stream: ids.StreamId, now: float) -> None:
         """Note the first event of a stream."""
         self._told(stream, now)
         placement = self._placements.get(stream)
         if placement is not None:
             placement.started_at = now
-            if placement.read_at is not None:
-                self._measures.note_start(now - placement.read_at)
-            self._pool.alive(placement.engine)
-            self._pool.alive(placement.prefill)
+            if placement.prefilled_at is not None:
+                self._measures.record_start(now - placement.prefilled_at)
+            self._pool.record_first_event(placement.engine)
+            self._pool.record_first_event(placement.prefill)
         run = self._run(stream)
         if run is not None:
             run.starts_at = now
@@ -276,16 +283,16 @@
         """
         placement = self._placements.get(stream)
         if placement is not None and tokens:
-            self._measures.lengths.learn(placement.hint, tokens)
-            self._pool.learn_spread(self._measures.lengths.spread)
+            self._measures.lengths.add_sample(placement.output_hint, tokens)
+            self._pool.set_spread(self._measures.lengths.spread)
             decode = self._pool.decodes.get(placement.engine)
             if decode is not None:
-                decode.health.worked()
-                decode.memory.ended(stream, tokens, seconds, now)
+                decode.health.record_success()
+                decode.memory.record_end(stream, tokens, seconds, now)
         self._forget(stream, now)
         self._queue.remove(stream)
 
-    def rebuild(
+    def reconcile_runs(
         self,
         entry: ids.MemberId,
         held: typing.Iterable[tuple[ids.UpstreamId, memory.Run]],
@@ -303,19 +310,21 @@
                     engine, 0, now
                 )
             elif decode is not None:
-                decode.memory.progress(run.stream, run.made, run.made_at)
+                decode.memory.record_progress(
+                    run.stream, run.generated, run.generated_at
+                )
             self._told(run.stream, now)
         for stream, placement in list(self._placements.items()):
             known = self._run(stream)
             if known is None or known.entry != entry or stream in current:
                 continue
             # Younger than the list may be: it was on its way to the VM.
-            if now - placement.told_at > _ON_ITS_WAY:
+            if now - placement.confirmed_at > _ON_ITS_WAY:
                 self._forget(stream, now)
 
-    def lapse(self, now: float) -> None:
+    def expire_runs(self, now: float) -> None:
         """Forget runs whose VM has been silent for long."""
-        for stream in placements.lapsed(self._placements, now):
+        for stream in placements.expired(self._placements, now):
             self._forget(stream, now)
 
     # Placement.
@@ -325,28 +334,28 @@
     ) -> generations.Placed | generations.Lack:
         engines = self._pool.decodes, self._pool.prefills
         runs = self._placements.values()
-        apart = placements.apart(job, runs, *engines, now)
+        apart = placements.separate_suspects(job, runs, *engines, now)
         if apart is None:
             return generations.Lack.TRIAL
         job, prefill = apart, None
-        if not job.is_read:
-            explore = not self._measures.knows_overlap
-            reads = self._measures.reading(job.prompt)
+        if not job.is_prefilled:
+            explore = not self._measures.has_overlap_estimate
+            reads = self._measures.prefill_seconds(job.prompt_tokens)
             prefill = self._pool.choose_prefill(job, reads, explore, now)
-        if prefill is not None and prefill.idle_at > now + LOOKAHEAD:
-            if not self._forecast.decode_may_read(job, now):
+        if prefill is not None and prefill.idle_at > now + PREFILL_LOOKAHEAD_S:
+            if not self._forecast.may_prefill_at_decode(job, now):
                 return generations.Lack.PREFILL
             prefill = None
-        ready = now + self._measures.until_first(job)
-        if prefill is None and not job.is_read:
-            ready += reading.seconds(job, self._measures)
+        ready = now + self._measures.seconds_to_first_event(job)
+        if prefill is None and not job.is_prefilled:
+            ready += decodeprefill.prefill_seconds(job, self._measures)
         decode = self._pool.choose_decode(job, prefill, ready, now)
         if decode is None:
-            if prefill is None and not job.is_read:
+            if prefill is None and not job.is_prefilled:
                 return generations.Lack.PREFILL
             return generations.Lack.MEMORY
         chosen = [e.upstream.id for e in (prefill, decode) if e is not None]
-        if not self._limiter.take_all(chosen, now):
+        if not self._limiter.acquire_all(chosen, now):
             return generations.Lack.MEMORY
         return self._placed(job, prefill, decode, ready, now)
 
@@ -360,13 +369,13 @@
     ) -> generations.Placed:
         """Note where a request goes."""
         chosen = prefill.upstream.id if prefill is not None else None
-        self._returns.served(job.subject)
-        self._measures.note_placed(now)
-        decode.memory.add(job.run(ready))
-        decode.health.given(now)
+        self._returns.record_placement(job.fingerprint)
+        self._measures.record_placement(now)
+        decode.memory.add(job.make_run(ready))
+        decode.health.record_run(now)
         placement = placements.Placement(
             decode.upstream.id,
-            0 if job.going_on else job.hint,
+            0 if job.is_continuation else job.output_hint,
             now,
             chosen,
             now,
@@ -374,15 +383,17 @@
         )
         self._placements[job.stream] = placement
         if prefill is not None:
-            placement.is_alone = not prefill.unread
-            prefill.give(
+            placement.had_idle_prefill = not prefill.pending
+            prefill.assign(
                 job.stream,
-                self._measures.reading(job.prompt),
-                self._measures.occupied(job.prompt),
+                self._measures.prefill_seconds(job.prompt_tokens),
+                self._measures.prefill_busy_seconds(job.prompt_tokens),
                 now,
             )
-        elif not job.is_read:
-            decode.reads_until = now + reading.occupied(job, self._measures)
+        elif not job.is_prefilled:
+            decode.prefilling_until = now + decodeprefill.busy_seconds(
+                job, self._measures
+            )
         why = (
             f'load={decode.memory.load(now):.2f} '
             f'runs={len(decode.memory.runs)} '
@@ -401,12 +412,12 @@
     def _told(self, stream: ids.StreamId, now: float) -> None:
         placement = self._placements.get(stream)
         if placement is not None:
-            placement.told_at = now
+            placement.confirmed_at = now
 
     def _forget(self, stream: ids.StreamId, now: float) -> None:
         placement = self._placements.pop(stream, None)
         if placement is not None and placement.prefill is not None:
-            self._pool.not_read(placement.prefill, stream)
+            self._pool.cancel_prefill(placement.prefill, stream)
         if placement is not None and placement.engine in self._pool.decodes:
             decode = self._pool.decodes[placement.engine]
             decode.memory.remove(stream, now)
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -24,12 +24,12 @@
 import math
 import typing
 
+from galenahatch.core import decodeprefill
 from galenahatch.core import figures
 from galenahatch.core import generations
 from galenahatch.core import pool as pools
-from galenahatch.core import reading
 from galenahatch.core import stages
-from galenahatch.core import waiting
+from galenahatch.core import waitqueue
 
 _LEAST_SPARE: typing.Final = 0.02
 """Least part of the engines' rate that is taken to be left for who is late or
@@ -41,7 +41,7 @@
 _BURST_SPARE: typing.Final = 0.3
 """The same for first attempts while demand is no more than a burst: it is
 over before callers leave."""
-LOOKED_AT: typing.Final = 8
+MAX_JOBS_CHECKED: typing.Final = 8
 """Requests ahead for which room is looked for one by one; behind more of
 them the rate at which places become free tells enough."""
 
@@ -63,42 +63,46 @@
     def __init__(
         self,
         pool: pools.Pool,
-        measures: figures.Measures,
-        queue: waiting.Waiting,
+        measures: figures.Estimator,
+        queue: waitqueue.WaitQueue,
     ) -> None:
         self._pool = pool
         self._measures = measures
         self._queue = queue
 
-    def rate(self) -> float:
+    def service_rate(self) -> float:
         """Return the requests a second that the engines can serve."""
-        each = self._measures.occupied(self._measures.figures.prompt)
+        each = self._measures.prefill_busy_seconds(
+            self._measures.figures.prompt
+        )
         ending = self._ending_rate()
         if each <= 0:
             return ending
         return min(ending, self._lines(ending) / each)
 
-    def works(self) -> list[stages.Work]:
+    def request_costs(self) -> list[stages.RequestCost]:
         """Return what a request of mean size costs at both stages.
 
         It may be either of what is returned, as far as it is known.
         """
         known = self._measures.figures
-        runs = self._pool.at_once(self._measures.held, known.output)
-        life = known.output * self._pool.full_pace(runs, known.pace)
-        life += self._measures.reading(round(known.prompt))
-        helped = reading.mean_seconds(self._measures)
+        runs = self._pool.concurrent_runs(
+            self._measures.mean_held_tokens, known.output
+        )
+        life = known.output * self._pool.mean_pace_at_batch(runs, known.pace)
+        life += self._measures.prefill_seconds(round(known.prompt))
+        helped = decodeprefill.mean_prefill_seconds(self._measures)
         return [
-            stages.Work(read, life / runs, helped)
-            for read in self._measures.occupied_between()
+            stages.RequestCost(read, life / runs, helped)
+            for read in self._measures.prefill_busy_range()
         ]
 
-    def why(self, job: Job, wait: float) -> str:
+    def describe_refusal(self, job: Job, wait: float) -> str:
         """Return what a refusal rests on, beliefs included, for the log."""
         known = self._measures.figures
         return (
-            f'wait={wait:.3f} queue={len(self._queue)} returned={job.returned}'
-            f' served={self.rate():.1f}'
+            f'wait={wait:.3f} queue={len(self._queue)} returned={job.is_retry}'
+            f' served={self.service_rate():.1f}'
             f' rate={known.rate:.0f} delay={known.delay:.3f}'
             f' alone={known.alone:.2f} slack={known.slack:.3f}'
             f' pace={self._pool.mean_pace(known.pace):.5f}'
@@ -106,7 +110,7 @@
             f' decodes={len(self._pool.decodes)}'
         )
 
-    def wait(self, job: Job, owed: int, now: float) -> float:
+    def predict_wait(self, job: Job, owed: int, now: float) -> float:
         """Return the predicted seconds until a request's first event.
 
         Args:
@@ -114,17 +118,20 @@
             owed: places that are needed beside those of the ones before it.
             now: monotonic seconds.
         """
-        ahead = self._queue.ahead(job, now)
-        own = self._measures.until_first(job)
+        ahead = self._queue.jobs_ahead(job, now)
+        own = self._measures.seconds_to_first_event(job)
         rate = self._ending_rate()
-        work = sum(self._measures.occupied(other.prompt) for other in ahead)
+        work = sum(
+            self._measures.prefill_busy_seconds(other.prompt_tokens)
+            for other in ahead
+        )
         queued = work / self._lines(rate)
-        before = max(queued, self._pool.next_trial(now))
+        before = max(queued, self._pool.seconds_to_next_trial(now))
         if not rate or self._has_room(job, ahead, now):
             return own + before
         return own + max(before, (len(ahead) + owed) / rate)
 
-    def late_wait(self, job: Job, owed: int, now: float) -> float:
+    def predict_late_wait(self, job: Job, owed: int, now: float) -> float:
         """Return the predicted seconds until a late request's first event.
 
         All that come meanwhile and can start in time are placed before it. In
@@ -140,47 +147,53 @@
             owed: places that are needed beside those of the ones before it.
             now: monotonic seconds.
         """
-        late = dataclasses.replace(job, kept=True, is_late=True)
-        ahead = len(self._queue.ahead(late, now))
+        late = dataclasses.replace(job, is_committed=True, is_late=True)
+        ahead = len(self._queue.jobs_ahead(late, now))
         # Who comes back is expected, and owes no place to others that are.
-        ahead += 1 if job.returned else owed
+        ahead += 1 if job.is_retry else owed
         rate = self._late_rate(job, now)
         if rate <= 0:
             return math.inf
-        wait = max(ahead / rate, self._pool.next_trial(now))
-        return self._measures.until_first(job) + wait
+        wait = max(ahead / rate, self._pool.seconds_to_next_trial(now))
+        return self._measures.seconds_to_first_event(job) + wait
 
     def _late_rate(self, job: Job, now: float) -> float:
         """Return the requests a second that are served late like one."""
         if self._measures.is_overloaded(now):
-            return self.spare(now)
-        rate = self.rate()
-        if job.returned:
+            return self.spare_rate(now)
+        rate = self.service_rate()
+        if job.is_retry:
             return rate
-        left = rate - self._measures.usual_rate(now)
+        left = rate - self._measures.long_term_rate(now)
         return max(_BURST_SPARE * rate, left)
 
-    def spare(self, now: float) -> float:
+    def spare_rate(self, now: float) -> float:
         """Return the requests a second that present traffic leaves."""
-        rate = self.rate()
+        rate = self.service_rate()
         left = rate - self._measures.arrival_rate(now)
         return max(_LEAST_SPARE * rate, left)
 
-    def decode_may_read(self, job: Job, now: float) -> bool:
+    def may_prefill_at_decode(self, job: Job, now: float) -> bool:
         """Return whether a decode engine should read a request's prompt."""
-        if not reading.is_short(job, self._measures):
+        if not decodeprefill.fits_pause(job, self._measures):
             return False
-        readers = self._pool.readers(now)
+        readers = self._pool.available_prefills(now)
         waits = len(self._queue)
-        if not reading.is_behind(job, waits, readers, self._measures):
+        if not decodeprefill.is_prefill_late(
+            job, waits, readers, self._measures
+        ):
             return False
-        return reading.limits(readers, self._ending_rate(), self._measures)
+        return decodeprefill.is_prefill_bound(
+            readers, self._ending_rate(), self._measures
+        )
 
     def _ending_rate(self) -> float:
         """Return the runs a second that the decode engines can end."""
         known = self._measures.figures
-        read = self._measures.reading(round(known.prompt))
-        return self._pool.service_rate(self._measures.held, known.output, read)
+        read = self._measures.prefill_seconds(round(known.prompt))
+        return self._pool.completion_rate(
+            self._measures.mean_held_tokens, known.output, read
+        )
 
     def _lines(self, ending: float) -> float:
         """Return how many prompts are read at the same time.
@@ -192,23 +205,34 @@
         if not prefills:
             # Decode engines read all prompts, one after another.
             mean = self._measures.figures.prompt
-            each = reading.mean_seconds(self._measures) + reading.REST
-            lines = len(self._pool.decodes) * self._measures.occupied(mean)
+            each = (
+                decodeprefill.mean_prefill_seconds(self._measures)
+                + decodeprefill.REST_S
+            )
+            lines = len(
+                self._pool.decodes
+            ) * self._measures.prefill_busy_seconds(mean)
             return max(lines / each, _LEAST_LINES)
-        if not reading.limits(prefills, ending, self._measures):
+        if not decodeprefill.is_prefill_bound(
+            prefills, ending, self._measures
+        ):
             return prefills
-        return prefills + reading.LINES * len(self._pool.decodes)
+        return prefills + decodeprefill.PREFILL_EQUIVALENT * len(
+            self._pool.decodes
+        )
 
     def _has_room(
         self, job: Job, ahead: collections.abc.Collection[Job], now: float
     ) -> bool:
         """Return whether there is memory now for a request and all before."""
-        if len(ahead) > LOOKED_AT:
+        if len(ahead) > MAX_JOBS_CHECKED:
             return False
         added = []
         try:
             for one in (*ahead, job):
-                run = one.run(now + self._measures.until_first(one))
+                run = one.make_run(
+                    now + self._measures.seconds_to_first_event(one)
+                )
                 usable = self._pool.usable_decodes(one, now)
                 fitting = (e for e in usable if e.fits(run, now))
                 engine = next(fitting, None)
@@ -219,4 +243,4 @@
             return True
         finally:
             for engine, run in added:
-                engine.memory.take_back(run.stream)
+                engine.memory.discard(run.stream)
--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -81,28 +81,28 @@
         """Count a plain call; return why it may not run."""
         if call.customer is None or not call.quota_units:
             return None
-        denied = self._quotas.take(
-            call.customer.name, call.quota_units, clock.now(), told=True
+        denied = self._quotas.acquire(
+            call.customer.name, call.quota_units, clock.now(), report_use=True
         )
         self._note(call.customer.name, call.quota_units, denied)
         if denied is not None:
             return quota_failure(denied.why, denied.retry_after)
-        if self._quotas.must_tell(call.customer.name, self.gateway_count()):
+        if self._quotas.must_report(call.customer.name, self.gateway_count()):
             self.on_usage(self.take_unreported())
         return None
 
     def refund(self, call: calls.Call) -> None:
         """Take back the charge of a plain call that did not run."""
         if call.customer is not None and call.quota_units:
-            self._quotas.give_back(
-                call.customer.name, call.quota_units, clock.now(), told=True
+            self._quotas.refund(
+                call.customer.name, call.quota_units, clock.now(), report_use=True
             )
 
     def check_size(self, call: calls.Call) -> errors.Failure | None:
         """Return why a request can never run, if it is too large."""
         if call.customer is None or not call.quota_units:
             return None
-        most = self._quotas.most(call.customer.name)
+        most = self._quotas.max_units(call.customer.name)
         if most is None or call.quota_units <= most:
             return None
         return quota_failure(
@@ -117,7 +117,7 @@
         """Count a generation as the owner; return why it may not run."""
         if not units:
             return None
-        denied = self._quotas.take(customer, units, clock.now())
+        denied = self._quotas.acquire(customer, units, clock.now())
         self._note(customer, units, denied)
         return denied
 
@@ -146,23 +146,23 @@
         self, customer: ids.CustomerName, units: float
     ) -> None:
         """Take back, as the owner, what a generation was granted."""
-        self._quotas.give_back(customer, units, clock.now())
+        self._quotas.refund(customer, units, clock.now())
 
     # What gateways tell each other.
 
     def set_owned_share(self, part: float) -> None:
         """Note for which part of all gateways this one decides."""
-        self._quotas.decide_for(part)
+        self._quotas.set_fraction(part)
 
     def take_unreported(self) -> tuple[messages.QuotaUse, ...]:
         """Return what was used here since the last call, for a beat."""
-        untold = self._quotas.take_untold()
+        untold = self._quotas.take_unreported()
         return tuple(messages.QuotaUse(*item) for item in untold.items())
 
     def add_reported(self, used: tuple[messages.QuotaUse, ...]) -> None:
         """Count what another gateway tells with its beat."""
         units = {one.customer: one.units for one in used}
-        self._quotas.used_elsewhere(units, clock.now())
+        self._quotas.record_remote_use(units, clock.now())
 
     def remaining(
         self, used: tuple[messages.QuotaUse, ...]
@@ -177,7 +177,7 @@
         now = clock.now()
         if now - self._looked_at > _LOOK_EVERY:
             self._looked_at = now
-            levels = self._quotas.low(now)
+            levels = self._quotas.low_levels(now)
             self._low = tuple(
                 messages.QuotaLevel(*it) for it in levels.items()
             )
@@ -186,7 +186,7 @@
     def apply_remaining(self, low: tuple[messages.QuotaLevel, ...]) -> None:
         """Take what an owner tells."""
         levels = {one.customer: one.units for one in low}
-        self._quotas.hear(levels, clock.now())
+        self._quotas.merge_levels(levels, clock.now())
 
 
 def quota_failure(why: str, retry_after: float | None) -> errors.Failure:
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -387,7 +387,7 @@
         relay = self._relay
         if (
             relay.run_count
-            and clock.now() - relay.run_first_at > placements.BEGINS
+            and clock.now() - relay.run_first_at > placements.STARTUP_S
         ):
             self._ran_on = True
         return prefill.Again(
@@ -403,7 +403,7 @@
     def _given_up(self, given_up: messages.PlacementRefused) -> errors.Failure:
         if self._relay.has_reached_caller:
             raise Broken(given_up.reason)
-        if not self._sends.surely_not_run:
+        if not self._sends.cannot_have_run:
             return errors.Failure(errors.SEND_INTERRUPTED, given_up.reason)
         if given_up.is_over_quota:
             return accounts.quota_failure(
@@ -416,7 +416,7 @@
     def _failure(self) -> errors.Failure:
         if self._relay.has_reached_caller:
             raise Broken(self._detail)
-        if self._sends.surely_not_run:
+        if self._sends.cannot_have_run:
             return contexts.retryable_failure(
                 errors.NO_ENGINE, self._detail, _RETRY_AFTER
             )
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -182,16 +182,16 @@
 
     def member_reaching_store(self) -> ids.MemberId | None:
         """Return another member that hears the store, if there is one."""
-        return self._members.hearing(clock.now())
+        return self._members.first_following_store(clock.now())
 
     def suspect(self, name: ids.MemberId) -> None:
         """Count a member as away until it is heard again."""
-        self._members.suspect(name)
+        self._members.mark_silent(name)
         _log.warning('Member suspected.', member=name)
 
     def send(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
         """Send a message; lost if the member is away."""
-        if name in self._members.known:
+        if name in self._members.by_name:
             self._link(name).send(message)
 
     def reply(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
@@ -214,17 +214,19 @@
             if suspended:
                 limits = timeouts.catch_up(suspended)
                 _log.warning('Suspended.', seconds=suspended, limits=limits)
-            stalled = self._members.listen(clock.now())
+            stalled = self._members.record_listen(clock.now())
             if stalled:
                 instruments.stalls.add(1)
                 _log.warning('Stalled.', seconds=stalled)
-            await asyncio.sleep(members.LISTEN_EVERY)
+            await asyncio.sleep(members.LISTEN_INTERVAL_S)
 
     async def _send_heartbeats(self) -> None:
         while True:
             self._send_heartbeat()
             await self._roster.remove_stale(self._owner == self.me)
-            await asyncio.sleep(members.BEAT_EVERY * self._members.slower)
+            await asyncio.sleep(
+                members.HEARTBEAT_INTERVAL_S * self._members.heartbeat_slowdown
+            )
 
     def _send_heartbeat(self) -> None:
         now = clock.now()
@@ -236,14 +238,14 @@
             self.leaving,
             self.running_generations(),
             self._exchange.take_unreported(),
-            self._members.order.number,
+            self._members.rank.number,
             self._directory.reaches_store,
             self._guard.suspicions(),
             self._accounts.take_unreported(),
             self._rate_limits.snapshot(),
             self._notices.leaving_upstreams(),
             self._directory.upstreams_version.era,
-            self._members.order.era,
+            self._members.rank.era,
         )
         if self._members.owner(self.leaving, now) == self.me:
             self._exchange.apply_own_totals()
@@ -262,13 +264,13 @@
         """
         if now - self._started_at < _STARTUP_S:
             return 1.0
-        return self._members.part_heard(now)
+        return self._members.reachable_fraction(now)
 
     def tell_owner(self, message: frames.AnyMessage) -> None:
         """Send to the owner and whoever may be the next one."""
         now = clock.now()
         live = 0
-        for name in self._members.ordered():
+        for name in self._members.by_rank():
             if live >= rosters.OWNER_CANDIDATES:
                 break
             live += name == self.me or self._members.is_live(name, now)
@@ -296,7 +298,7 @@
     def _link(self, name: ids.MemberId) -> bus.Link[frames.AnyMessage]:
         link = self._links.get(name)
         if link is None:
-            member = self._members.known[name]
+            member = self._members.by_name[name]
             link = self._links[name] = bus.Link(
                 f'tcp://{member.address}:{member.port}',
                 CODEC,
@@ -325,13 +327,13 @@
                     self.size,
                     self.figures(),
                     self._exchange.totals(),
-                    self._members.order.number,
+                    self._members.rank.number,
                     self._guard.suspicions(),
                     self._accounts.nearly_exhausted(),
                     self._rate_limits.snapshot(),
                     self._notices.leaving_upstreams(),
                     self._directory.upstreams_version.era,
-                    self._members.order.era,
+                    self._members.rank.era,
                 ),
             )
             self._request_update(message)
@@ -348,7 +350,7 @@
     ) -> None:
         if isinstance(message, messages.HeartbeatReply):
             self._record_heartbeat(name, message)
-            self._members.told_size(message.member_count)
+            self._members.set_reported_size(message.member_count)
             if name == self._members.owner(self.leaving, clock.now()):
                 self._exchange.apply_owner_totals(message.outcomes)
             self._accounts.apply_remaining(message.low_quotas)
@@ -368,11 +370,11 @@
         """Take what a member tells of itself."""
         order = messages.order_version(beat)
         self._roster.record_versions(order, messages.upstreams_version(beat))
-        self._members.heard(
+        self._members.record_message(
             name, clock.now(), beat.leaving, beat.incarnation, order
         )
         feeds = beat.reaches_store and self._update_requester.is_current(beat)
-        self._members.told_store(name, feeds)
+        self._members.set_follows_store(name, feeds)
 
     def _record_peer(self, name: ids.MemberId, peer: bus.Peer) -> None:
         """Remember by which connection a member can be answered."""
@@ -391,7 +393,7 @@
             [ids.MemberId, frames.AnyMessage], None
         ],
     ) -> None:
-        self._members.heard(name, clock.now())
+        self._members.record_message(name, clock.now())
         if isinstance(message, messages.UpdateRequest):
             news = self._directory.update_for(message)
             if news is not None:
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -25,7 +25,7 @@
 
 from galenahatch import clock
 from galenahatch.core import balance
-from galenahatch.core import extras
+from galenahatch.core import retrybudget
 from galenahatch import errors
 from galenahatch.gateway import accounts as accounts_module
 from galenahatch.gateway import calls
@@ -118,10 +118,10 @@
         self._sender.on_response_head = self._record_answer
         self._directory.on_restart(self._cancel_waits)
         bounds = settings.bounds
-        self._budget = extras.SharedBudget(
+        self._budget = retrybudget.LocalBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
-        self._grants = extras.GrantedBudget(
+        self._grants = retrybudget.OwnerBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
         self._accounts = accounts_module.Accounts(
@@ -254,7 +254,7 @@
             self._budget.set_members(self._mesh.size)
             self._grants.set_members(self._mesh.size)
             known = self._directory.registry.upstreams
-            self._balancer.forget(known)
+            self._balancer.prune(known)
             self._exchange.prune(known)
             self._rate_limits.prune(known)
             self._notices.forget(known)
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -102,14 +102,14 @@
                 continue
             await self._begin_lease_era()
             for service, found in list(self._owner.dispatchers.items()):
-                for engine, stage in found.changes(now):
+                for engine, stage in found.plan_stage_changes(now):
                     _log.info(
                         'Change wanted.',
                         engine=engine.id,
                         stage=stage.value,
                         prefills=len(found.engines.prefills),
                         decodes=len(found.engines.decodes),
-                        **found.measured._asdict(),
+                        **found.measured_figures._asdict(),
                     )
                     await self._request_change(service, found, engine, stage)
 
@@ -161,7 +161,7 @@
         if spec is None or spec.engine is None:
             return
         lost_at = clock.now() + spec.engine.switch_time + _ORDER_TIMEOUT_S
-        dispatcher.engines.changing(engine.id, stage, lost_at)
+        dispatcher.engines.record_stage_order(engine.id, stage, lost_at)
         other = self._mesh.member_reaching_store()
         if other is not None and not self._directory.reaches_store:
             _log.info('Order passed on.', engine=engine.id, member=other)
@@ -179,8 +179,8 @@
         stage: upstreams.Stage,
     ) -> None:
         """Use an engine as it is, and plan again after a while."""
-        dispatcher.engines.changing(engine, stage, clock.now())
-        dispatcher.division.plan_again()
+        dispatcher.engines.record_stage_order(engine, stage, clock.now())
+        dispatcher.rebalancer.reset_plan()
         self._retry_at = clock.now() + _RETRY_DELAY_S
 
     async def _send_if_possible(
--- a/galenahatch/gateway/outcomes.py
+++ b/galenahatch/gateway/outcomes.py
@@ -43,7 +43,7 @@
 
     def take_unreported(self) -> tuple[messages.Outcomes, ...]:
         """Return what came since the last call, for the next beat."""
-        new = self._known.take_new()
+        new = self._known.take_unreported()
         self._add(new)
         return _told(new)
 
@@ -53,20 +53,20 @@
 
     def totals(self) -> tuple[messages.Outcomes, ...]:
         """Return the sums over all gateways that tell this one."""
-        return _told(self._totals.all(clock.now()))
+        return _told(self._totals.failing(clock.now()))
 
     def apply_own_totals(self) -> None:
         """Use this gateway's own sums: it is the owner."""
         now = clock.now()
-        self._known.hear(self._totals.all(now), now)
+        self._known.set_totals(self._totals.failing(now), now)
 
     def apply_owner_totals(self, told: tuple[messages.Outcomes, ...]) -> None:
         """Use the sums of the owner."""
-        self._known.hear(_heard(told), clock.now())
+        self._known.set_totals(_heard(told), clock.now())
 
     def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Drop upstreams that are gone."""
-        self._totals.forget(known)
+        self._totals.prune(known)
 
     def _add(self, counts: outliers.Counts) -> None:
         now = clock.now()
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -23,12 +23,12 @@
 
 from galenahatch import clock
 from galenahatch.core import dispatch
-from galenahatch.core import extras
 from galenahatch.core import figures
 from galenahatch.core import generations
 from galenahatch.core import memory
 from galenahatch.core import quotas
 from galenahatch.core import ratelimits
+from galenahatch.core import retrybudget
 from galenahatch.gateway import accounts as accounts_module
 from galenahatch.gateway import directory as directories
 from galenahatch.gateway import frames
@@ -71,7 +71,7 @@
     def __init__(
         self,
         directory: directories.Directory,
-        budget: extras.GrantedBudget,
+        budget: retrybudget.OwnerBudget,
         accounts: accounts_module.Accounts,
         limiter: ratelimits.Limiter,
         deliver: DeliverFunction,
@@ -100,7 +100,7 @@
     @property
     def waiting(self) -> int:
         """Requests that wait for engines."""
-        return sum(d.waiting for d in self._dispatchers.values())
+        return sum(d.waiting_count for d in self._dispatchers.values())
 
     def handle_message(
         self, member: ids.MemberId, message: frames.AnyMessage
@@ -110,7 +110,7 @@
         if isinstance(message, messages.PlacementRequest):
             self._take_place(member, message, now)
         elif isinstance(message, messages.Heartbeat):
-            self._budget.heard(member, now)
+            self._budget.record_heartbeat(member, now)
             self._take_held(message, now)
         elif isinstance(message, messages.Withdraw):
             self._withdraw(message.stream, now)
@@ -134,7 +134,7 @@
     def figures(self) -> tuple[records.Figures, ...]:
         """Return what was measured of each service."""
         return tuple(
-            records.Figures(service, *dispatcher.measured)
+            records.Figures(service, *dispatcher.measured_figures)
             for service, dispatcher in self._dispatchers.items()
         )
 
@@ -143,7 +143,7 @@
         for told in back.figures:
             dispatcher = self._dispatcher(told.service)
             if dispatcher is not None:
-                dispatcher.adopt(
+                dispatcher.adopt_figures(
                     figures.Figures(
                         told.rate,
                         told.prompt,
@@ -153,7 +153,7 @@
                         told.delay,
                         told.alone,
                         told.reads,
-                        told.slack or figures.FIRST_SLACK,
+                        told.slack or figures.INITIAL_SLACK_S,
                         told.pairs,
                     )
                 )
@@ -185,7 +185,7 @@
             reply(_without_quota(member, place, denied))
             return
         if place.attempt == 1:
-            self._budget.request(place.service, now)
+            self._budget.record_request(place.service, now)
         if not self._budget.grant(place.service, place.extra_sends, now):
             reply(_without_budget(member, place))
             return
@@ -195,7 +195,7 @@
         if decision is not None:
             self._announce(decision)
             return
-        if dispatcher.waiting == 1:
+        if dispatcher.waiting_count == 1:
             for decision in dispatcher.decide(now):
                 self._announce(decision)
         if place.stream in self._replies:
@@ -225,7 +225,7 @@
                 runs = by_service.setdefault(held.service, [])
                 runs.append((held.decode, run))
         for service, runs in by_service.items():
-            self._dispatchers[service].rebuild(beat.member, runs, now)
+            self._dispatchers[service].reconcile_runs(beat.member, runs, now)
 
     def _take_progress(
         self,
@@ -236,21 +236,21 @@
         if dispatcher is None:
             return
         if isinstance(message, messages.Prefilled):
-            dispatcher.prefilled(
+            dispatcher.record_prefill(
                 message.stream, message.tokens, message.seconds, now
             )
         elif isinstance(message, messages.Started):
-            dispatcher.started(message.stream, now)
+            dispatcher.record_first_event(message.stream, now)
         else:
             dispatcher.release(
                 message.stream, message.tokens, message.seconds, now
             )
             for engine in message.failed:
-                dispatcher.engines.failed(
+                dispatcher.engines.record_failure(
                     engine, now, engine == message.unreachable
                 )
             if message.kv_source:
-                dispatcher.engines.fetched(message.kv_source)
+                dispatcher.engines.record_transfer(message.kv_source)
 
     def _dispatcher(
         self, service: ids.ServiceName
@@ -296,7 +296,7 @@
             for dispatcher in self._dispatchers.values():
                 for decision in dispatcher.decide(now):
                     self._announce(decision)
-                look = dispatcher.next_look(now)
+                look = dispatcher.next_decision_at(now)
                 if look is not None:
                     looks.append(look - now)
             await asyncio.sleep(_BREATH)
@@ -309,7 +309,7 @@
     def _replan_lapsed(self) -> None:
         now = clock.now()
         for service, dispatcher in self._dispatchers.items():
-            dispatcher.lapse(now)
+            dispatcher.expire_runs(now)
             self._set_engines(service, dispatcher)
 
     def _announce(self, decision: generations.Decision) -> None:
@@ -322,7 +322,7 @@
                 decision.prefill or ids.UpstreamId(''),
                 decision.decode,
                 decision.why,
-                job.output,
+                job.predicted_output,
             )
             instruments.decisions.add(1, {'outcome': 'placed'})
             _log.info(
@@ -395,22 +395,22 @@
     return generations.Job(
         stream=place.stream,
         entry=member,
-        prompt=place.prompt_tokens,
-        hint=place.length_hint,
-        most=place.max_tokens,
+        prompt_tokens=place.prompt_tokens,
+        output_hint=place.length_hint,
+        max_output=place.max_tokens,
         arrived_at=now,
-        start_by=now + place.first_event_within,
-        leaves_at=now + place.leave_within,
+        start_deadline=now + place.first_event_within,
+        abandon_at=now + place.leave_within,
         deadline=now + place.end_within,
-        subject=place.subject,
+        fingerprint=place.subject,
         data_centre=place.data_centre,
         avoid=frozenset(place.avoid),
-        going_on=place.is_continuation,
-        is_read=place.is_prefilled,
-        longest_pause=place.longest_pause,
+        is_continuation=place.is_continuation,
+        is_prefilled=place.is_prefilled,
+        max_pause=place.longest_pause,
         is_suspect=place.is_suspect,
         customer=place.customer,
         units=place.units,
         priority=place.priority,
-        paused={one.upstream: now + one.seconds_left for one in place.pauses},
+        paused_until={one.upstream: now + one.seconds_left for one in place.pauses},
     )
--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -120,7 +120,7 @@
         """Note that a send broke off soon after its upstream began it."""
         if not await self._sender.refuses_connections(upstream):
             return
-        self._quarantine.ended(call.digest, upstream.id, clock.now())
+        self._quarantine.record_end(call.digest, upstream.id, clock.now())
         instruments.upstream_ends.add(1)
         _log.warning(
             'Upstream ended under a request.',
@@ -136,7 +136,7 @@
         """Note that a request ran whole."""
         if self._quarantine.is_empty:
             return
-        if self._quarantine.served(call.digest, clock.now()):
+        if self._quarantine.record_success(call.digest, clock.now()):
             _log.info('Request cleared.', request=call.id, digest=call.digest)
             self._update_blocked()
             self.announce(self.suspicions())
@@ -149,7 +149,7 @@
             return ()
         return tuple(
             messages.Suspicion(one.digest, one.ends, one.age, one.cleared)
-            for one in self._quarantine.tell(clock.now())
+            for one in self._quarantine.make_reports(clock.now())
         )
 
     def merge(
@@ -164,7 +164,7 @@
     def _merge(
         self, told: collections.abc.Iterable[quarantine.Suspicion]
     ) -> None:
-        self._quarantine.hear(told, clock.now())
+        self._quarantine.merge(told, clock.now())
         self._update_blocked()
 
     def _update_blocked(self) -> None:
@@ -215,7 +215,7 @@
             decides: whether this gateway is the owner, who writes.
         """
         while True:
-            self._quarantine.forget(clock.now())
+            self._quarantine.prune(clock.now())
             self._update_blocked()
             if decides():
                 await self._save()
@@ -251,7 +251,7 @@
         """Return rows to write and to remove, as many as go at once."""
         lasting = {
             one.digest: Entry(one.ends, one.cleared)
-            for one in self._quarantine.lasting(clock.now())
+            for one in self._quarantine.persistent_records(clock.now())
         }
         new = [
             (digest, made)
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -87,7 +87,7 @@
             engine
             for engine in registry.usable(service, now)
             if not self._notices.pause_seconds_left(engine.id)
-            and self._limiter.may_probe(engine.id, now)
+            and self._limiter.acquire_probe(engine.id, now)
         ]
         replies = await asyncio.gather(
             *(
@@ -126,6 +126,6 @@
             if later is None:
                 return
             engine = later.id
-        dispatcher.engines.observe(
+        dispatcher.engines.record_report(
             engine, report.kv_used, report.stage, report.busy, clock.now()
         )
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -135,15 +135,15 @@
         with each beat, what is new, as long as one of them hears the store.
         """
         now = clock.now()
-        first = self.members.ordered()[:OWNER_CANDIDATES]
+        first = self.members.by_rank()[:OWNER_CANDIDATES]
         if (
             self._own_id in first
-            or len(self.members.known) <= _SMALL_DEPLOYMENT
+            or len(self.members.by_name) <= _SMALL_DEPLOYMENT
         ):
             return False
         return any(
             self.members.is_live(name, now)
-            and self.members.known[name].hears_store
+            and self.members.by_name[name].follows_store
             for name in first
         )
 
@@ -176,8 +176,8 @@
 
         Those first in the order ask often, and so do few members.
         """
-        known = len(self.members.known)
-        if self._own_id in self.members.ordered()[:OWNER_CANDIDATES]:
+        known = len(self.members.by_name)
+        if self._own_id in self.members.by_rank()[:OWNER_CANDIDATES]:
             known = 0
         return followers.MAX_RETRY_DELAY_S * max(
             1.0, known / _SMALL_DEPLOYMENT
@@ -190,7 +190,7 @@
         while True:
             written = await self._write_own_row()
             self._own_row_lost.clear()
-            self.members.joined(written.version)
+            self.members.record_join(written.version)
             _log.info(
                 'Joined.',
                 member=self._own_id,
@@ -219,19 +219,19 @@
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
         """Find this member's row in a list of all."""
-        joined = self.members.order
-        if not members.NO_PLACE < joined <= version:
+        joined = self.members.rank
+        if not members.NO_RANK < joined <= version:
             return
         number = next((row.ver for row in rows if row.key == self._own_id), 0)
         is_same_era = version.era == joined.era
         if number == joined.number or (is_same_era and number > joined.number):
-            self.members.joined(versions.Version(version.era, number))
+            self.members.record_join(versions.Version(version.era, number))
         else:
             self._record_lost_row(version)
 
     def _record_lost_row(self, version: versions.Version) -> None:
         _log.warning('Own row lost.', era=version.era, ver=version.number)
-        self.members.lost_own_row()
+        self.members.record_row_lost()
         self._own_row_lost.set()
 
     async def remove_stale(self, decides: bool) -> None:
@@ -247,15 +247,15 @@
             await self._remove_silent(now)
 
     async def _remove_silent(self, now: float) -> None:
-        for name, member in self.members.known.items():
-            since = max(member.heard_at, member.found_at)
+        for name, member in self.members.by_name.items():
+            since = max(member.heard_at, member.discovered_at)
             if name == self._own_id or now - since < _SILENT_ROW_TTL_S:
                 continue
-            if member.order.era != self.feed.version.era:
+            if member.rank.era != self.feed.version.era:
                 # The number may be another row's in this era.
                 continue
-            member.found_at = now
-            await self._remove_row(name, member.order.number)
+            member.discovered_at = now
+            await self._remove_row(name, member.rank.number)
             return
 
     async def _remove_row(self, name: ids.MemberId, order: int) -> None:
@@ -276,7 +276,7 @@
         self._snapshot_version = version
         now = clock.now()
         current = {row.key for row in rows}
-        for name in self.members.known.keys() - current:
+        for name in self.members.by_name.keys() - current:
             if is_restored and self.members.keep_unlisted(name, version, now):
                 continue
             self._drop_member(name)
@@ -295,7 +295,7 @@
                 self._drop_member(name)
                 if (
                     name == self._own_id
-                    and members.NO_PLACE < self.members.order < version
+                    and members.NO_RANK < self.members.rank < version
                 ):
                     self._record_lost_row(version)
                 continue
@@ -303,10 +303,10 @@
             if told is None:
                 continue
             order = versions.Version(version.era, row.ver)
-            if self.members.put(name, told.port, order, clock.now()):
+            if self.members.add_row(name, told.port, order, clock.now()):
                 _log.info('Member found.', member=name, order=row.ver)
 
     def _drop_member(self, name: ids.MemberId) -> None:
         self._on_removal(name)
-        if self.members.drop(name):
+        if self.members.remove(name):
             _log.info('Member gone.', member=name)
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -74,14 +74,14 @@
     job = generations.Job(
         stream=ids.StreamId(f's{number}'),
         entry=_MEMBER,
-        prompt=prompt,
-        hint=output,
-        most=output * 2,
+        prompt_tokens=prompt,
+        output_hint=output,
+        max_output=output * 2,
         arrived_at=now,
-        start_by=now + patience,
-        leaves_at=now + 3.6,
+        start_deadline=now + patience,
+        abandon_at=now + 3.6,
         deadline=now + 14,
-        subject=subject or f'subject{number}',
+        fingerprint=subject or f'subject{number}',
         data_centre=ids.DataCentre('a'),
     )
     for name, value in more.items():
@@ -205,11 +205,11 @@
         if not sends.may_send(repeatable, most):
             break
         sends.begin()
-        assert not sends.surely_not_run
+        assert not sends.cannot_have_run
         assert not sends.may_send(repeatable, most)
         sends.end(happened)
         may_have_run += happened in (fate.Fate.UNCERTAIN, fate.Fate.ANSWERED)
-        assert sends.surely_not_run == (may_have_run == 0)
+        assert sends.cannot_have_run == (may_have_run == 0)
     assert may_have_run <= (most if repeatable else 1)
 
 
@@ -234,7 +234,7 @@
     out += splitter.feed(data)
     assert out == whole
     assert (splitter.last_id, splitter.count) == ('5', 5)
-    assert splitter.rest == b'id: 6\nda'
+    assert splitter.partial == b'id: 6\nda'
 
 
 # Memory.
@@ -254,9 +254,9 @@
 def test_memory_of_others_counts() -> None:
     """What a report shows beyond our own runs is taken into account."""
     engine = memory.EngineMemory(10_000, 8)
-    engine.observe(8000, 0.0)
+    engine.record_usage(8000, 0.0)
     assert not engine.fits(_run('a', 3000, 100), 0.0)
-    engine.observe(0, 1.0)
+    engine.record_usage(0, 1.0)
     assert engine.fits(_run('a', 3000, 100), 1.0)
 
 
@@ -265,8 +265,8 @@
     engine = memory.EngineMemory(10_000, 8)
     engine.add(_run('a', 3000, 1000))
     engine.remove(ids.StreamId('a'), 1.0)
-    engine.observe(4000, 1.2)
-    assert engine.foreign < 1
+    engine.record_usage(4000, 1.2)
+    assert engine.unknown_tokens < 1
 
 
 def test_overrun_is_expected_to_go_on() -> None:
@@ -393,7 +393,7 @@
         owner.decide(0.2 * number)
     refused = owner.submit(_job(3, 0.5, subject='x'), 0.5)
     assert isinstance(refused, generations.Refused)
-    hopeless = _job(4, 0.9, subject='x', leaves_at=1.0)
+    hopeless = _job(4, 0.9, subject='x', abandon_at=1.0)
     assert isinstance(owner.submit(hopeless, 0.9), generations.Refused)
     assert owner.submit(_job(5, 0.9, subject='x'), 0.9) is None
     assert not owner.decide(2.0)
@@ -411,7 +411,7 @@
     for number in range(4):
         owner.submit(_job(number, 0.0, patience=3.5), 0.0)
         owner.decide(0.2 * number)
-    late = _job(5, 2.0, patience=0.3, leaves_at=5.6)
+    late = _job(5, 2.0, patience=0.3, abandon_at=5.6)
     assert owner.submit(late, 2.0) is None
     assert not owner.decide(2.1)
     owner.release(ids.StreamId('s0'), 3000, 3.0, 3.0)
@@ -479,13 +479,13 @@
     owner.submit(_job(1, 0.0), 0.0)
     owner.withdraw(ids.StreamId('s1'))
     assert not owner.decide(0.0)
-    assert (owner.waiting, owner.running) == (0, 0)
+    assert (owner.waiting_count, owner.running_count) == (0, 0)
 
 
 def test_failed_engines_are_left_alone() -> None:
     """After a failure the other engine is used, then the first again."""
     owner = _dispatcher(decodes=2)
-    owner.engines.failed(ids.UpstreamId('d0'), 0.0)
+    owner.engines.record_failure(ids.UpstreamId('d0'), 0.0)
     owner.submit(_job(1, 0.0), 0.0)
     (placed,) = owner.decide(0.0)
     assert isinstance(placed, generations.Placed)
@@ -503,8 +503,10 @@
     """
     owner = _dispatcher(prefills=2, decodes=2)
     for name in ('d0', 'd1'):
-        owner.engines.failed(ids.UpstreamId(name), 0.0, unreachable=True)
-    gone_soon = _job(1, 0.0, patience=0.4, leaves_at=0.45)
+        owner.engines.record_failure(
+            ids.UpstreamId(name), 0.0, unreachable=True
+        )
+    gone_soon = _job(1, 0.0, patience=0.4, abandon_at=0.45)
     refused = owner.submit(gone_soon, 0.0)
     assert isinstance(refused, generations.Refused)
     assert refused.retry_after >= 0.5, 'not before the next trial'
@@ -514,14 +516,14 @@
     tried = owner.decide(0.6) + owner.decide(0.8)
     engines = [p.decode for p in tried if isinstance(p, generations.Placed)]
     assert sorted(engines) == ['d0', 'd1'], 'one run each'
-    owner.started(tried[0].job.stream, 0.9)
+    owner.record_first_event(tried[0].job.stream, 0.9)
     assert len(owner.decide(0.9)) == 1, 'one has shown that it works'
 
 
 def test_failed_engines_are_the_way_out() -> None:
     """If all failed but can be reached, they are used all the same."""
     owner = _dispatcher(decodes=1)
-    owner.engines.failed(ids.UpstreamId('d0'), 0.0)
+    owner.engines.record_failure(ids.UpstreamId('d0'), 0.0)
     owner.submit(_job(1, 0.0), 0.0)
     assert owner.decide(0.0)
 
@@ -551,18 +553,18 @@
         (ids.UpstreamId('d0'), _run('old1', 5000, 3000)),
         (ids.UpstreamId('d0'), _run('old2', 5000, 3000)),
     ]
-    owner.rebuild(_MEMBER, held, 0.0)
-    assert owner.running == 2
+    owner.reconcile_runs(_MEMBER, held, 0.0)
+    assert owner.running_count == 2
     assert isinstance(owner.submit(_job(1, 0.1), 0.1), generations.Refused)
-    owner.rebuild(_MEMBER, [], 2.0)
-    assert owner.running == 0
+    owner.reconcile_runs(_MEMBER, [], 2.0)
+    assert owner.running_count == 0
 
 
 def test_changing_engine_takes_no_work() -> None:
     """An engine that changes its stage is used again in the new one."""
     owner = _dispatcher(prefills=2, decodes=1)
     moved = ids.UpstreamId('p1')
-    owner.engines.changing(moved, upstreams.Stage.DECODE, 10.0)
+    owner.engines.record_stage_order(moved, upstreams.Stage.DECODE, 10.0)
     engines = [
         _engine('p0', upstreams.Stage.PREFILL),
         _engine('p1', upstreams.Stage.PREFILL),
@@ -574,7 +576,7 @@
     places = [owner.decide(1.0 + 0.2 * n) for n in range(3)]
     used = {p.decode for step in places for p in step if hasattr(p, 'decode')}
     assert used == {'d0'}
-    owner.engines.observe(moved, 0, upstreams.Stage.DECODE, False, 2.0)
+    owner.engines.record_report(moved, 0, upstreams.Stage.DECODE, False, 2.0)
     owner.set_engines(engines, (), 2.0)
     owner.submit(_job(7, 2.0, patience=3.5), 2.0)
     (placed,) = owner.decide(2.0)
@@ -589,11 +591,11 @@
     for name, stage in stages_of.items():
         assert not owner.engines.is_settled(1.0)
         is_busy = name == 'p1'
-        owner.engines.observe(
+        owner.engines.record_report(
             ids.UpstreamId(name), 0, upstreams.Stage[stage], is_busy, 1.0
         )
     assert not owner.engines.is_settled(1.0), 'one is about to change'
-    owner.engines.observe(
+    owner.engines.record_report(
         ids.UpstreamId('p1'), 0, upstreams.Stage.DECODE, False, 2.0
     )
     assert owner.engines.is_settled(2.0)
@@ -603,7 +605,9 @@
 def test_engine_that_ends_while_it_changes_holds_up_nothing() -> None:
     """A crash during a change of stage does not forbid the next change."""
     owner = _dispatcher(prefills=2, decodes=1)
-    owner.engines.changing(ids.UpstreamId('p1'), upstreams.Stage.DECODE, 20.0)
+    owner.engines.record_stage_order(
+        ids.UpstreamId('p1'), upstreams.Stage.DECODE, 20.0
+    )
     left = [
         _engine('p0', upstreams.Stage.PREFILL),
         _engine('d0', upstreams.Stage.DECODE),
@@ -617,8 +621,8 @@
     """Neither a stream sent before nor a lapsed entry makes it a sound one."""
     owner = _dispatcher(prefills=1, decodes=2)
     dark = ids.UpstreamId('d0')
-    owner.engines.failed(dark, 0.0, unreachable=True)
-    owner.engines.failed(dark, 0.1)
+    owner.engines.record_failure(dark, 0.0, unreachable=True)
+    owner.engines.record_failure(dark, 0.1)
     every = [
         _engine('p0', upstreams.Stage.PREFILL),
         _engine('d0', upstreams.Stage.DECODE),
@@ -645,7 +649,7 @@
     nothing then, and is made though requests wait. A decode engine is kept
     unless requests wait for prompts to be read.
     """
-    work = stages.Work(read=0.11, hold=0.29)
+    work = stages.RequestCost(prefill_seconds=0.11, decode_seconds=0.29)
     engines = [_engine(f'e{n}', None) for n in range(6)]
     planner = stages.Planner()
     ((_, stage),) = planner.plan(
@@ -665,7 +669,9 @@
     The last prefill engine was taken away, and 115 of 250 streams paused for
     longer than they may through the rest of the day.
     """
-    work = stages.Work(read=0.1, hold=0.33, help=0.2)
+    work = stages.RequestCost(
+        prefill_seconds=0.1, decode_seconds=0.33, decode_prefill_seconds=0.2
+    )
     engines = [_engine(f'e{n}', None) for n in range(3)]
     ((_, stage),) = stages.Planner().plan(
         [work], [], engines, False, False, 10.0
@@ -676,8 +682,8 @@
 def test_change_must_pay_whatever_is_not_known() -> None:
     """As long as overlap is not known, a change has to pay either way."""
     engines = [_engine(f'e{n}', None) for n in range(6)]
-    overlaps = stages.Work(read=0.11, hold=0.29)
-    serial = stages.Work(read=0.22, hold=0.29)
+    overlaps = stages.RequestCost(prefill_seconds=0.11, decode_seconds=0.29)
+    serial = stages.RequestCost(prefill_seconds=0.22, decode_seconds=0.29)
     planner = stages.Planner()
     works = [overlaps, serial]
     assert not planner.plan(works, engines[:3], engines[3:], True, True, 10.0)
@@ -686,23 +692,23 @@
 
 def test_best_division() -> None:
     """Engines are divided by what a request costs at both stages."""
-    work = stages.Work(read=0.094, hold=0.36)
-    assert stages.best(work, 4) == 1
-    assert stages.best(work, 9) == 2
-    assert stages.best(stages.Work(1.0, 0.1), 4) == 3
+    work = stages.RequestCost(prefill_seconds=0.094, decode_seconds=0.36)
+    assert stages.best_prefill_count(work, 4) == 1
+    assert stages.best_prefill_count(work, 9) == 2
+    assert stages.best_prefill_count(stages.RequestCost(1.0, 0.1), 4) == 3
 
 
 def test_engines_that_crash_delay_a_plan() -> None:
     """An engine lost without a word is waited for, one that left is not."""
-    work = stages.Work(read=0.094, hold=0.36)
+    work = stages.RequestCost(prefill_seconds=0.094, decode_seconds=0.36)
     prefills = [_engine(f'p{n}', None) for n in range(2)]
     decodes = [_engine(f'd{n}', None) for n in range(3)]
     planner = stages.Planner()
     every = [e.id for e in (*prefills, *decodes)]
-    planner.present(every, (), 0.0)
-    planner.present(every[:-1], (), 1.0)
+    planner.set_engines(every, (), 0.0)
+    planner.set_engines(every[:-1], (), 1.0)
     assert not planner.plan([work], prefills, decodes[:2], True, True, 2.0)
-    planner.present(every[:-2], {every[-2]}, 6.5)
+    planner.set_engines(every[:-2], {every[-2]}, 6.5)
     ((engine, stage),) = planner.plan(
         [work], prefills, decodes[:1], True, True, 6.5
     )
@@ -719,14 +725,14 @@
     of four prefill engines make answers.
     """
     source = random.Random(4)
-    known = figures.Measures()
+    known = figures.Estimator()
     for number in range(200):
         seconds = 0.1
         if number % 4 == 1:
             seconds = 0.005
         elif number % 4 == 2:
             seconds = 0.1 + 0.1 * source.random()
-        known.note_prefill(5000, seconds)
+        known.record_prefill(5000, seconds)
         if number >= 20:
             assert 40_000 < known.figures.rate < 65_000, number
 
@@ -742,7 +748,7 @@
     for _ in range(300):
         length = math.exp(source.gauss(math.log(3000), 0.4))
         hint = length * math.exp(source.gauss(0, 0.8))
-        known.learn(int(hint), int(length))
+        known.add_sample(int(hint), int(length))
     usual = known.predict(0, 100_000)
     assert 2700 < usual < 3700
     assert usual < known.predict(9000, 100_000) < 6000
@@ -761,19 +767,19 @@
     """Who restarted knows nothing and is last until its new row is seen."""
     members = members_module.Members(ids.MemberId('c'))
     for order, name in enumerate('abc', 1):
-        members.put(ids.MemberId(name), 1, _place(order), 0.0)
+        members.add_row(ids.MemberId(name), 1, _place(order), 0.0)
     for name in 'ab':
-        members.heard(ids.MemberId(name), 0.0, False, incarnation=1)
+        members.record_message(ids.MemberId(name), 0.0, False, incarnation=1)
     assert members.owner(False, 0.1) == 'a'
-    members.heard(ids.MemberId('a'), 0.2, False, incarnation=2)
+    members.record_message(ids.MemberId('a'), 0.2, False, incarnation=2)
     assert members.owner(False, 0.3) == 'b'
-    members.put(ids.MemberId('a'), 1, _place(1), 0.3)
+    members.add_row(ids.MemberId('a'), 1, _place(1), 0.3)
     assert members.owner(False, 0.3) == 'b', 'a row of before tells nothing'
-    members.put(ids.MemberId('a'), 1, _place(9), 0.4)
-    members.heard(ids.MemberId('a'), 0.4, False, incarnation=2)
-    assert members.ordered() == ['b', 'a', 'c']
-    members.joined(_place(3))
-    assert members.ordered() == ['b', 'c', 'a']
+    members.add_row(ids.MemberId('a'), 1, _place(9), 0.4)
+    members.record_message(ids.MemberId('a'), 0.4, False, incarnation=2)
+    assert members.by_rank() == ['b', 'a', 'c']
+    members.record_join(_place(3))
+    assert members.by_rank() == ['b', 'c', 'a']
     assert members.owner(False, 2.0) == 'c', 'both others are silent'
     assert members.owner(True, 0.4) == 'b', 'this one stops'
 
@@ -785,16 +791,16 @@
     owner though they read the rows at different moments.
     """
     members = members_module.Members(ids.MemberId('c'))
-    members.put(ids.MemberId('a'), 1, _place(1), 0.0)
-    members.put(ids.MemberId('b'), 1, _place(21), 0.0)
-    members.heard(
+    members.add_row(ids.MemberId('a'), 1, _place(1), 0.0)
+    members.add_row(ids.MemberId('b'), 1, _place(21), 0.0)
+    members.record_message(
         ids.MemberId('a'), 0.1, False, incarnation=5, order=_place(22)
     )
-    members.heard(
+    members.record_message(
         ids.MemberId('b'), 0.1, False, incarnation=6, order=_place(21)
     )
     assert members.owner(False, 0.2) == 'b'
-    members.put(ids.MemberId('a'), 1, _place(1), 0.2)
+    members.add_row(ids.MemberId('a'), 1, _place(1), 0.2)
     assert members.owner(False, 0.2) == 'b', 'read late, and still of before'
 
 
@@ -804,8 +810,8 @@
     owner.submit(_job(1, 0.0), 0.0)
     (placed,) = owner.decide(0.0)
     owner.release(placed.job.stream, 3000, 3.0, 3.0)
-    measured = owner.engines.paced
+    measured = owner.engines.paced_tokens
     assert measured == 3000
     owner.set_engines([], (), 4.0)
     owner.set_engines([_engine('d0', upstreams.Stage.DECODE)], (), 5.0)
-    assert owner.engines.paced == measured
+    assert owner.engines.paced_tokens == measured
--- a/galenahatch/test/test_load.py
+++ b/galenahatch/test/test_load.py
@@ -95,7 +95,7 @@
             seconds = 0.005
         elif number % 4 == 3:
             seconds += 0.1 * source.random()
-        line = known.learn(tokens, seconds, line)
+        line = known.add_sample(tokens, seconds, line)
     assert line.seconds(5000) == pytest.approx(delay + 0.09, rel=0.25)
     if delay >= 0.1:
         assert line.rate == pytest.approx(55_555, rel=0.5)
@@ -108,11 +108,11 @@
     the first result comes after 0.75 s, the true time is 0.19 s.
     """
     known = latency.Latency()
-    first = latency.Line(0.0, figures.FIRST_RATE)
-    line = known.learn(5200, 0.75, first)
+    first = latency.Line(0.0, figures.INITIAL_PREFILL_RATE)
+    line = known.add_sample(5200, 0.75, first)
     assert line.seconds(5200) < 0.2
     for _ in range(2):
-        line = known.learn(5200, 0.19, line)
+        line = known.add_sample(5200, 0.19, line)
     assert line.seconds(5200) == pytest.approx(0.19)
 
 
@@ -129,7 +129,7 @@
         now = 0.25 * beat
         for stream in list(engine.runs):
             made = 8 * int(now / 0.006 / 8)
-            engine.progress(stream, made, now)
+            engine.record_progress(stream, made, now)
     assert engine.pace == pytest.approx(0.006, rel=0.1)
 
 
@@ -142,10 +142,10 @@
     shown = pace.Pace()
     for number in range(200):
         runs = 2 + number % 4
-        shown.learn(runs, 40, 40 * (0.004 + 0.0003 * runs))
-    factor = shown.slower(2, 10)
+        shown.add_sample(runs, 40, 40 * (0.004 + 0.0003 * runs))
+    factor = shown.slowdown(2, 10)
     assert factor == pytest.approx(0.007 / 0.0046, rel=0.2)
-    assert shown.slower(5, 5) == 1.0
+    assert shown.slowdown(5, 5) == 1.0
 
 
 def test_start_is_expected_when_it_comes() -> None:
@@ -154,11 +154,11 @@
     It is some ms here; 0.15 s more would refuse a sixth of those that can
     start in time.
     """
-    measures = figures.Measures()
-    assert measures.figures.slack == figures.FIRST_SLACK
+    measures = figures.Estimator()
+    assert measures.figures.slack == figures.INITIAL_SLACK_S
     for _ in range(20):
-        measures.note_start(0.02)
-    measures.note_start(0.9)
+        measures.record_start(0.02)
+    measures.record_start(0.9)
     assert measures.figures.slack == pytest.approx(0.02)
 
 
@@ -221,15 +221,15 @@
     Its first prompts wait behind those that it does not know of: taken for
     the rate of engines without a delay, two decode engines were given up.
     """
-    measures = figures.Measures()
+    measures = figures.Estimator()
     told = figures.Figures(rate=54_000.0, prompt=5200, seen=150, reads=60)
     assert measures.adopt(told)
     for _ in range(5):
-        measures.note_prefill(5200, 0.27)
+        measures.record_prefill(5200, 0.27)
     assert measures.figures.rate == 54_000.0
     for number in range(40):
         tokens = 3000 + 100 * number
-        measures.note_prefill(tokens, tokens / 50_000)
+        measures.record_prefill(tokens, tokens / 50_000)
     assert measures.figures.rate == pytest.approx(50_000, rel=0.1)
 
 
@@ -257,14 +257,14 @@
     return generations.Job(
         stream=ids.StreamId(str(number)),
         entry=ids.MemberId('m'),
-        prompt=5000,
-        hint=400,
-        most=1200,
+        prompt_tokens=5000,
+        output_hint=400,
+        max_output=1200,
         arrived_at=now,
-        start_by=now + 0.9,
-        leaves_at=now + 3.6,
+        start_deadline=now + 0.9,
+        abandon_at=now + 3.6,
         deadline=now + 14,
-        subject=str(number),
+        fingerprint=str(number),
         data_centre=ids.DataCentre('a'),
     )
 
@@ -284,8 +284,8 @@
     for number in range(8):
         seconds = 0.19 + 0.1 * number
         stream = ids.StreamId(str(number))
-        owner.prefilled(stream, 5000, seconds, 0.14 * number + seconds)
-    assert owner.measured.rate > 20_000
+        owner.record_prefill(stream, 5000, seconds, 0.14 * number + seconds)
+    assert owner.measured_figures.rate > 20_000
 
 
 def test_delay_costs_no_engine_its_time() -> None:
@@ -355,21 +355,21 @@
     engine = modelengines.PrefillEngine(_prefill('p0'))
     for number in range(4):
         stream = ids.StreamId(f's{number}')
-        engine.give(stream, 0.2, 0.1, float(number))
-        engine.answered(stream, 0.8, number + 0.8)
+        engine.assign(stream, 0.2, 0.1, float(number))
+        engine.record_result(stream, 0.8, number + 0.8)
     assert engine.slowness(4.0) > 3
     assert engine.slowness(10.0) < 2
     for number in range(10, 13):
         stream = ids.StreamId(f's{number}')
-        engine.give(stream, 0.2, 0.1, float(number))
-        engine.answered(stream, 0.2, number + 0.2)
+        engine.assign(stream, 0.2, 0.1, float(number))
+        engine.record_result(stream, 0.2, number + 0.2)
     assert engine.slowness(13.0) == 1.0
 
 
 def test_overdue_result_tells_before_it_comes() -> None:
     """An engine that says nothing is slow at once, but not for ever."""
     engine = modelengines.PrefillEngine(_prefill('p0'))
-    engine.give(ids.StreamId('s0'), 0.1, 0.1, 0.0)
+    engine.assign(ids.StreamId('s0'), 0.1, 0.1, 0.0)
     assert engine.slowness(0.1) == 1.0
     assert engine.slowness(0.2) == 1.0, 'words between VMs take their time'
     assert engine.slowness(0.65) == pytest.approx(5.0)
@@ -395,25 +395,25 @@
     prompt read elsewhere.
     """
     health = modelengines.Health()
-    health.failed(0.0)
-    now = health.until
-    health.given(now)
-    assert health.until > now, 'the next one waits for this one'
-    health.alive()
-    assert health.until == 0.0
-    health.given(now + 1.0)
-    health.failed(now + 1.2)
-    assert health.until - now - 1.2 > 0.5, 'left alone for longer'
-    health.worked()
-    health.given(now + 9.0)
-    assert health.until == 0.0
+    health.record_failure(0.0)
+    now = health.suspended_until
+    health.record_run(now)
+    assert health.suspended_until > now, 'the next one waits for this one'
+    health.record_first_event()
+    assert health.suspended_until == 0.0
+    health.record_run(now + 1.0)
+    health.record_failure(now + 1.2)
+    assert health.suspended_until - now - 1.2 > 0.5, 'left alone for longer'
+    health.record_success()
+    health.record_run(now + 9.0)
+    assert health.suspended_until == 0.0
 
 
 def test_suspicion_outlasts_events_of_earlier_runs() -> None:
     """An engine that broke off ten streams makes events of the eleventh."""
     health = modelengines.Health()
     for _ in range(3):
-        health.failed(1.0)
-    until = health.until
-    health.alive()
-    assert health.until == until
+        health.record_failure(1.0)
+    until = health.suspended_until
+    health.record_first_event()
+    assert health.suspended_until == until
