--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -95,7 +95,10 @@
         """Take back the charge of a plain call that did not run."""
         if call.customer is not None and call.quota_units:
             self._quotas.refund(
-                call.customer.name, call.quota_units, clock.now(), report_use=True
+                call.customer.name,
+                call.quota_units,
+                clock.now(),
+                report_use=True,
             )
 
     def check_size(self, call: calls.Call) -> errors.Failure | None:
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -412,5 +412,7 @@
         customer=place.customer,
         units=place.units,
         priority=place.priority,
-        paused_until={one.upstream: now + one.seconds_left for one in place.pauses},
+        paused_until={
+            one.upstream: now + one.seconds_left for one in place.pauses
+        },
     )
