--- a/bench/account.py
+++ b/bench/account.py
@@ -41,9 +41,9 @@
     'Change wanted.': 'order',
     'Upstream gone.': 'gone',
     'Owner changed.': 'owner',
-    'Decode lost.': 'decode lost',
-    'Prefill lost.': 'prefill lost',
-    'Stream lost.': 'stream lost',
+    'Decode request failed.': 'decode lost',
+    'Prefill request failed.': 'prefill lost',
+    'Stream interrupted.': 'stream lost',
 }
 
 
@@ -85,7 +85,7 @@
     """Return how attempts at streams ended, the most frequent first."""
     counts: collections.Counter[str] = collections.Counter()
     for line in lines:
-        if line.message == 'Streamed.':
+        if line.message == 'Stream completed.':
             counts[_streamed(line.fields, aim)] += 1
         elif line.message == 'Refused.':
             again = line.why('returned') == 'True'
@@ -130,7 +130,8 @@
         believed = ' '.join(f'{name}={last.why(name)}' for name in names)
     events = _events(lines)
     return (
-        f'{start:4d}  placed {len(placed):3d} ended {counts["Streamed."]:3d}'
+        f'{start:4d}  placed {len(placed):3d}'
+        f' ended {counts["Stream completed."]:3d}'
         f' refused {counts["Refused."]:3d}'
         f' load {statistics.fmean(loads) if loads else 0.0:.2f}'
         f' waited {statistics.fmean(waits) if waits else 0.0:.2f}'
--- a/galenahatch/gateway/frontend.py
+++ b/galenahatch/gateway/frontend.py
@@ -257,7 +257,9 @@
         denied = self._means.accounts.charge(call)
         if denied is not None:
             return denied
-        result = await plain.Course(self._means, call, route, service).run()
+        result = await plain.RequestHandler(
+            self._means, call, route, service
+        ).run()
         if (
             isinstance(result, errors.Failure)
             and result.outcome is errors.Outcome.NOT_RUN
@@ -276,10 +278,12 @@
             failure = means_module.refusal(errors.LEAVING, '', _ELSEWHERE)
             return self._respond(call, route, failure)
         sink = _StreamSink(request, self)
-        course = generation.Course(self._means, call, route, service, sink)
+        course = generation.RequestHandler(
+            self._means, call, route, service, sink
+        )
         try:
             result = await course.run()
-        except generation.Broken as broken:
+        except generation.StreamBroken as broken:
             return self._break(request, call, sink, str(broken))
         if result is not None:
             return self._respond(call, route, result)
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -10,16 +10,16 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The course of a request to a model: place, prefill, decode, pass on.
+"""Handles a request to a model service: placement, prefill, decode, relay.
 
-The prompt is read at one engine and the answer made at another, which takes
-the KV cache over. Engines are chosen by the owner (`owner_client`). Whatever
-is held at an engine for a request that does not go on is freed: closing the
-connection ends its work, and a finished prefill is dropped by its handle.
+A prefill engine processes the prompt; a decode engine fetches the KV cache
+from it and generates the response. The owner chooses both (`owner_client`).
+When a request ends early, its resources at the engines are released: closing
+the connection aborts the work, and an unused prefill handle is deleted.
 
-A stream that may be resumed goes on at another engine when its own breaks
-off, or is silent for long; the caller sees one answer. Every other stream
-that breaks off ends as a broken answer, never as a whole one.
+A resumable stream continues at another engine when its own fails or stalls;
+the caller sees a single response. Any other stream that fails is reported as
+broken, never as complete.
 """
 
 import asyncio
@@ -33,41 +33,33 @@
 from galenahatch import errors
 from galenahatch.gateway import accounts
 from galenahatch.gateway import calls
-from galenahatch.gateway import ending
 from galenahatch.gateway import means as means_module
 from galenahatch.gateway import messages
 from galenahatch.gateway import owner_client
 from galenahatch.gateway import prefill
 from galenahatch.gateway import relay as relays
 from galenahatch.gateway import sender as senders
+from galenahatch.gateway import stream_log
 from galenahatch import ids
 from galenahatch import logs
 from galenahatch.platform import wire
 
-_CONNECT: typing.Final = 0.3
-_SILENCE_PAUSES: typing.Final = 4.0
-"""Silence of a resumable stream, in the pauses that its route allows, after
-which it goes on elsewhere. Callers leave after eight."""
-_MOST_PLACES: typing.Final = 6
-"""Times that one request asks for engines."""
-_RETRY_AFTER: typing.Final = 0.3
+_CONNECT_TIMEOUT_S: typing.Final = 0.3
+_MAX_SILENT_PAUSES: typing.Final = 4.0
+"""A resumable stream that is silent for this multiple of its route's longest
+pause moves to another engine. Callers disconnect after eight such pauses."""
+_MAX_PLACEMENTS: typing.Final = 6
+"""Maximum number of placements per request."""
+_RETRY_AFTER_S: typing.Final = 0.3
 _log = logs.Log('generation')
 
 
-class Broken(Exception):
-    """A stream broke off after the caller had a part of it."""
+class StreamBroken(Exception):
+    """A stream failed after a part of it had reached the caller."""
 
 
-class Course:
-    """One request to a model.
-
-    Args:
-        means: shared by all requests.
-        call: of the caller.
-        route: that it takes.
-        service: that it goes to.
-        sink: where the stream goes.
-    """
+class RequestHandler:
+    """Handles one request to a model service; the stream goes to `sink`."""
 
     def __init__(
         self,
@@ -87,141 +79,144 @@
         self._sends = fate.Sends()
         self._relay = relays.Relay(sink, call.last_event_id)
         self._avoid: list[ids.UpstreamId] = []
-        self._end_by = means_module.end_by(call, route)
-        self._decodes = 0
+        self._deadline = means_module.end_by(call, route)
+        self._decode_sends = 0
         self._detail = ''
         self._spent = relays.Spent()
         self._sent_at = 0.0
         self._stage = 'waiting'
-        self._engine = ids.UpstreamId('')
-        self._ran_on = False
+        self._decode_engine = ids.UpstreamId('')
+        self._ran_past_start = False
         self._was_placed = False
-        self._reader = prefill.Reader(means, call, service)
+        self._prefill = prefill.Prefill(means, call, service)
 
     async def run(self) -> means_module.Whole | errors.Failure | None:
-        """Return None when the stream was passed on whole.
+        """Serve the request; return None if its stream was relayed completely.
 
         Raises:
-            Broken: it broke off after the caller had a part of it.
+            StreamBroken: The stream failed after a part of it was relayed.
         """
         try:
             result = await self._run()
             if self._was_placed and isinstance(result, errors.Failure):
-                self._give_back(result)
+                self._refund_quota(result)
             return result
         except asyncio.CancelledError:
             _log.info(
-                'Caller left.',
+                'Caller disconnected.',
                 request=self._call.id,
                 stage=self._stage,
                 seconds=clock.now() - self._call.arrived_at,
             )
             raise
         finally:
-            self._reader.free()
+            self._prefill.delete_unused()
 
-    def _give_back(self, failure: errors.Failure) -> None:
-        """Return what the customer was charged for what has not run."""
+    def _refund_quota(self, failure: errors.Failure) -> None:
+        """Refund the customer's quota if the request was not executed."""
         units = self._call.quota_units
         if units and failure.outcome is errors.Outcome.NOT_RUN:
             self._means.ownership.refund_units(self._call.customer_name, units)
 
     async def _run(self) -> means_module.Whole | errors.Failure | None:
-        for number in range(1, _MOST_PLACES + 1):
-            if means_module.over(self._end_by):
+        for attempt in range(1, _MAX_PLACEMENTS + 1):
+            if means_module.over(self._deadline):
                 break
-            stream = ids.StreamId(f'{self._call.id}.{number}')
+            stream = ids.StreamId(f'{self._call.id}.{attempt}')
             self._stage = 'waiting'
-            began = clock.now()
-            wish = self._wish(stream, number)
-            placed = await self._means.ownership.place(wish)
-            self._spent.waited += clock.now() - began
-            if isinstance(placed, messages.GivenUp):
-                return self._given_up(placed)
+            started_at = clock.now()
+            request = self._placement_request(stream, attempt)
+            placement = await self._means.ownership.place(request)
+            self._spent.waited += clock.now() - started_at
+            if isinstance(placement, messages.GivenUp):
+                return self._rejected(placement)
             self._was_placed = True
-            result = await self._attempt(stream, placed)
-            if not isinstance(result, prefill.Again):
+            result = await self._attempt(stream, placement)
+            if not isinstance(result, prefill.Retry):
                 return result
             self._detail = result.detail
-            self._avoid += {result.failed, *result.at_fault}
-            if result.cut is not None and not self._ran_on:
-                await self._means.guard.cut(self._call, result.cut)
+            self._avoid += {result.avoid, *result.at_fault}
+            if result.disconnected is not None and not self._ran_past_start:
+                await self._means.guard.cut(self._call, result.disconnected)
             if self._means.guard.holds(self._call):
-                return self._held_back()
-            most = self._route.max_attempts
-            if not self._sends.may_send(self._route.repeatable, most):
+                return self._quarantined()
+            max_attempts = self._route.max_attempts
+            if not self._sends.may_send(self._route.repeatable, max_attempts):
                 break
         return self._failure()
 
-    def _wish(
+    def _placement_request(
         self, stream: ids.StreamId, attempt: int
     ) -> owner_client.PlacementRequest:
-        made = self._relay.count * self._spec.stride
-        likely = self._prompt.estimated_output or 0
-        prompt, most = self._sizes()
+        generated = self._relay.event_count * self._spec.stride
+        estimated = self._prompt.estimated_output or 0
+        prompt_tokens, max_output = self._token_counts()
         return owner_client.PlacementRequest(
             stream=stream,
             service=self._service.name,
-            prompt_tokens=prompt,
-            estimated_output=max(0, likely - made),
-            max_output=most,
+            prompt_tokens=prompt_tokens,
+            estimated_output=max(0, estimated - generated),
+            max_output=max_output,
             start_by=self._call.arrived_at + self._route.objective,
             caller_leaves_at=means_module.leaves_at(self._call, self._route),
-            deadline=self._end_by,
+            deadline=self._deadline,
             last_block_id=self._prompt.last_block_id,
             avoid=tuple(self._avoid),
             is_resumed=self._relay.has_reached_caller,
-            is_prefilled=bool(self._reader.source()),
+            is_prefilled=bool(self._prefill.kv_source()),
             longest_pause=self._route.longest_pause,
             attempt=attempt,
-            extra_sends=self._reader.extra_sends() + (self._decodes > 0),
+            extra_sends=self._prefill.extra_sends() + (self._decode_sends > 0),
             is_suspect=self._means.guard.suspects(self._call),
             customer=self._call.customer_name,
             quota_units=self._call.quota_units if attempt == 1 else 0.0,
             priority=means_module.priority(self._call, self._route),
         )
 
-    def _sizes(self) -> tuple[int, int]:
-        """Return the tokens to read now, and those still made at most."""
-        made = self._relay.count * self._spec.stride
-        most = max(self._spec.stride, self._prompt.max_output - made)
-        return self._prompt.tokens + made, most
+    def _token_counts(self) -> tuple[int, int]:
+        """Return the tokens to prefill and the limit on remaining output."""
+        output = self._relay.event_count * self._spec.stride
+        max_output = max(self._spec.stride, self._prompt.max_output - output)
+        return self._prompt.tokens + output, max_output
 
     async def _attempt(
-        self, stream: ids.StreamId, placed: messages.PlacedAt
-    ) -> means_module.Whole | errors.Failure | prefill.Again | None:
+        self, stream: ids.StreamId, placement: messages.PlacedAt
+    ) -> means_module.Whole | errors.Failure | prefill.Retry | None:
         find = self._means.directory.registry.find
         release = messages.Release(stream, self._service.name)
         try:
-            engine = find(placed.prefill)
-            decode = find(placed.decode)
-            if decode is None or not self._takes_work(decode):
-                return prefill.Again(placed.decode, 'decode engine gone')
-            if engine is not None:
+            prefiller = find(placement.prefill)
+            decoder = find(placement.decode)
+            if decoder is None or not self._takes_work(decoder):
+                return prefill.Retry(placement.decode, 'decode engine gone')
+            if prefiller is not None:
                 self._stage = 'prefill'
-                began = clock.now()
-                again = await self._reader.read(
-                    stream, engine, self._relay.last_event, self._end_by
+                started_at = clock.now()
+                retry = await self._prefill.run(
+                    stream,
+                    prefiller,
+                    self._relay.last_event_id,
+                    self._deadline,
                 )
-                self._spent.read += clock.now() - began
-                if again is not None:
-                    release = self._failed(release, again)
-                    return again
-            result = await self._decode(stream, decode, placed.output)
-            if isinstance(result, prefill.Again):
-                release = self._failed(release, result)
+                self._spent.read += clock.now() - started_at
+                if retry is not None:
+                    release = self._failed_release(release, retry)
+                    return retry
+            result = await self._decode(stream, decoder, placement.output)
+            if isinstance(result, prefill.Retry):
+                release = self._failed_release(release, result)
             elif result is None:
                 self._means.guard.served(self._call)
-                release = self._ended(release)
+                release = self._final_release(release)
             return result
         finally:
             self._means.ownership.release(release)
 
     def _takes_work(self, upstream: upstreams.Upstream) -> bool:
-        """Return whether the request may still go to an upstream.
+        """Return whether the request may still be sent to an upstream.
 
-        Another gateway may have seen meanwhile what it does there, and the
-        upstream may have asked this one for a pause.
+        Another gateway may have quarantined the request in the meantime, or
+        the upstream may have asked this gateway to pause.
         """
         paused = self._means.notices.pause_left(upstream.id)
         if paused or self._means.guard.holds(self._call):
@@ -229,200 +224,205 @@
         registry = self._means.directory.registry
         return registry.takes_work(upstream.id, clock.now())
 
-    def _failed(
-        self, release: messages.Release, again: prefill.Again
+    def _failed_release(
+        self, release: messages.Release, retry: prefill.Retry
     ) -> messages.Release:
-        unreachable = again.failed if again.unreachable else ''
+        unreachable = retry.avoid if retry.unreachable else ''
         return messages.Release(
             release.stream,
             release.service,
-            failed=again.at_fault,
+            failed=retry.at_fault,
             unreachable=ids.UpstreamId(unreachable),
         )
 
-    def _ended(self, release: messages.Release) -> messages.Release:
+    def _final_release(self, release: messages.Release) -> messages.Release:
         stride = self._spec.stride
-        made = ending.streamed(
-            self._call, self._relay, self._spent, stride, self._engine
+        output = stream_log.log_completed_stream(
+            self._call, self._relay, self._spent, stride, self._decode_engine
         )
         return messages.Release(
             release.stream,
             release.service,
-            tokens=made.tokens,
-            seconds=made.seconds,
-            fetched=self._reader.engine,
+            tokens=output.tokens,
+            seconds=output.seconds,
+            fetched=self._prefill.engine,
         )
 
     async def _decode(
         self, stream: ids.StreamId, engine: upstreams.Upstream, output: int
-    ) -> means_module.Whole | errors.Failure | prefill.Again | None:
-        """Send the request to its decode engine and pass the stream on."""
+    ) -> means_module.Whole | errors.Failure | prefill.Retry | None:
+        """Send the request to its decode engine and relay the response."""
         if not self._takes_work(engine):
-            return prefill.Again(engine.id, 'decode engine gone')
-        self._engine = engine.id
+            return prefill.Retry(engine.id, 'decode engine gone')
+        self._decode_engine = engine.id
         self._stage = 'decode'
-        prompt, most = self._sizes()
-        held = messages.Held(
-            stream, self._service.name, engine.id, prompt, output, most, -1.0
+        prompt, limit = self._token_counts()
+        running = messages.Held(
+            stream, self._service.name, engine.id, prompt, output, limit, -1.0
         )
-        self._means.ownership.track_running(held, self._made)
-        left = means_module.left(self._end_by)
-        directions = calls.ForwardingOptions(
+        self._means.ownership.track_running(running, self._generated_tokens)
+        time_left = means_module.left(self._deadline)
+        options = calls.ForwardingOptions(
             engine.id,
-            left,
-            kv_source=self._reader.source(),
-            last_event_id=self._relay.last_event,
+            time_left,
+            kv_source=self._prefill.kv_source(),
+            last_event_id=self._relay.last_event_id,
             priority=self._call.priority,
         )
         self._sends.begin()
         self._sent_at = clock.now()
-        known = fate.Fate.UNCERTAIN
+        send_fate = fate.Fate.UNCERTAIN
         try:
-            answer = await self._means.sender.send(
+            response = await self._means.sender.send(
                 engine,
                 self._call,
-                wire.outgoing(self._call, directions),
+                wire.outgoing(self._call, options),
                 wire.answer_head,
-                timeout=self._patience(left),
-                connect_timeout=_CONNECT,
+                timeout=self._read_timeout(time_left),
+                connect_timeout=_CONNECT_TIMEOUT_S,
                 use_pool=False,
             )
-            if isinstance(answer, senders.FailedSend):
-                known = answer.fate
-                return self._decode_lost(engine, answer)
-            known = fate.Fate.ANSWERED
-            self._reader.taken()
-            return await self._take(stream, engine, answer)
+            if isinstance(response, senders.FailedSend):
+                send_fate = response.fate
+                return self._handle_decode_failure(engine, response)
+            send_fate = fate.Fate.ANSWERED
+            self._prefill.mark_fetched()
+            return await self._relay_response(stream, engine, response)
         finally:
-            self._sends.end(known)
-            # A send that never got there takes nothing from the budget.
-            self._decodes += known is not fate.Fate.NOT_SENT
+            self._sends.end(send_fate)
+            # A send that did not reach the engine costs no retry budget.
+            self._decode_sends += send_fate is not fate.Fate.NOT_SENT
 
-    def _made(self) -> int:
-        """Return the tokens that the present run has made."""
-        return self._relay.run_count * self._spec.stride
+    def _generated_tokens(self) -> int:
+        """Return the number of tokens generated in the current run."""
+        return self._relay.run_event_count * self._spec.stride
 
-    def _patience(self, left: float) -> float:
-        """Return the silence after which a decode engine is given up."""
+    def _read_timeout(self, time_left: float) -> float:
+        """Return the seconds of silence after which a send is abandoned."""
         if not self._route.resumable:
-            return left
-        return min(left, _SILENCE_PAUSES * self._route.longest_pause)
-
-    def _decode_lost(
-        self, engine: upstreams.Upstream, lost: senders.FailedSend
-    ) -> prefill.Again:
-        self._log_lost('Decode lost.', engine, lost)
-        # A refusal says that the engine takes no more, or that the handle is
-        # gone: either engine may be to blame, and the prompt is read again.
-        # Without a connection, the result of the prefill is still there.
+            return time_left
+        return min(time_left, _MAX_SILENT_PAUSES * self._route.longest_pause)
+
+    def _handle_decode_failure(
+        self, engine: upstreams.Upstream, failure: senders.FailedSend
+    ) -> prefill.Retry:
+        self._log_failure('Decode request failed.', engine, failure)
+        # A refusal means that the engine is full or that the handle has
+        # expired: either engine may be at fault, and the prefill is repeated.
+        # If the connection failed, the prefill result is still available.
         at_fault = [engine.id]
-        if lost.fate is fate.Fate.REFUSED and self._reader.engine:
-            at_fault.append(self._reader.engine)
-        if lost.fate is not fate.Fate.NOT_SENT:
-            self._reader.free()
-        return prefill.Again(
+        if failure.fate is fate.Fate.REFUSED and self._prefill.engine:
+            at_fault.append(self._prefill.engine)
+        if failure.fate is not fate.Fate.NOT_SENT:
+            self._prefill.delete_unused()
+        return prefill.Retry(
             engine.id,
-            lost.detail,
+            failure.detail,
             tuple(at_fault),
-            unreachable=lost.fate is fate.Fate.NOT_SENT,
-            cut=engine if lost.is_disconnect else None,
+            unreachable=failure.fate is fate.Fate.NOT_SENT,
+            disconnected=engine if failure.is_disconnect else None,
         )
 
-    async def _take(
+    async def _relay_response(
         self,
         stream: ids.StreamId,
         engine: upstreams.Upstream,
-        answer: senders.Response,
-    ) -> means_module.Whole | errors.Failure | prefill.Again | None:
-        """Pass an answer on to its end."""
-        head = answer.head
+        response: senders.Response,
+    ) -> means_module.Whole | errors.Failure | prefill.Retry | None:
+        """Relay a response until it ends."""
+        head = response.head
         if head.status >= 300 or head.is_encoded or not head.is_signed:
-            body = await answer.body()
+            body = await response.body()
             if head.status < 500 and head.status >= 300 and body is not None:
                 return means_module.Whole(head, body)
-            return prefill.Again(
+            return prefill.Retry(
                 engine.id, f'status {head.status}', (engine.id,)
             )
         try:
-            return await self._pass_on(stream, engine, answer)
+            return await self._relay_stream(stream, engine, response)
         finally:
-            answer.close()
+            response.close()
 
-    async def _pass_on(
+    async def _relay_stream(
         self,
         stream: ids.StreamId,
         engine: upstreams.Upstream,
-        answer: senders.Response,
-    ) -> prefill.Again | None:
-        self._relay.restart()
-        began = False
+        response: senders.Response,
+    ) -> prefill.Retry | None:
+        self._relay.begin_run()
+        has_begun = False
         while True:
-            # What has come is passed on, also after the deadline.
-            left = max(0.0, means_module.left(self._end_by))
-            data = await answer.read(self._patience(left))
+            # Data that has arrived is relayed even after the deadline.
+            time_left = max(0.0, means_module.left(self._deadline))
+            data = await response.read(self._read_timeout(time_left))
             if isinstance(data, senders.FailedSend):
-                if means_module.over(self._end_by):
-                    raise Broken('deadline')
-                self._log_lost('Stream lost.', engine, data)
-                return self._broke_off(engine, data.detail, data.is_disconnect)
+                if means_module.over(self._deadline):
+                    raise StreamBroken('deadline')
+                self._log_failure('Stream interrupted.', engine, data)
+                return self._broken(engine, data.detail, data.is_disconnect)
             if not data:
-                if self._relay.is_within_event:
-                    detail = 'ended within an event'
-                    return self._broke_off(engine, detail, is_cut=True)
+                if self._relay.has_partial_event:
+                    detail = 'ended in the middle of an event'
+                    return self._broken(engine, detail, is_disconnect=True)
                 return None
-            whole = self._relay.feed(data)
-            if not whole:
+            events = self._relay.feed(data)
+            if not events:
                 continue
-            if not began:
-                began = True
-                self._spent.made = self._relay.run_first_at - self._sent_at
+            if not has_begun:
+                has_begun = True
+                self._spent.made = self._relay.run_started_at - self._sent_at
                 self._means.ownership.report_started(stream)
-            await self._relay.pass_on(answer.head, whole)
+            await self._relay.forward(response.head, events)
 
-    def _broke_off(
-        self, engine: upstreams.Upstream, detail: str, is_cut: bool
-    ) -> prefill.Again:
+    def _broken(
+        self, engine: upstreams.Upstream, detail: str, is_disconnect: bool
+    ) -> prefill.Retry:
         relay = self._relay
         if (
-            relay.run_count
-            and clock.now() - relay.run_first_at > placements.BEGINS
+            relay.run_event_count
+            and clock.now() - relay.run_started_at > placements.BEGINS
         ):
-            self._ran_on = True
-        return prefill.Again(
-            engine.id, detail, (engine.id,), cut=engine if is_cut else None
+            self._ran_past_start = True
+        return prefill.Retry(
+            engine.id,
+            detail,
+            (engine.id,),
+            disconnected=engine if is_disconnect else None,
         )
 
-    def _held_back(self) -> errors.Failure:
+    def _quarantined(self) -> errors.Failure:
         failure = self._means.guard.failure(self._call)
         if self._relay.has_reached_caller:
-            raise Broken(failure.detail)
+            raise StreamBroken(failure.detail)
         return failure
 
-    def _given_up(self, given_up: messages.GivenUp) -> errors.Failure:
+    def _rejected(self, rejection: messages.GivenUp) -> errors.Failure:
         if self._relay.has_reached_caller:
-            raise Broken(given_up.why)
+            raise StreamBroken(rejection.why)
         if not self._sends.surely_not_run:
-            return errors.Failure(errors.SEND_INTERRUPTED, given_up.why)
-        if given_up.is_over_quota:
-            return accounts.quota_failure(given_up.why, given_up.retry_after)
+            return errors.Failure(errors.SEND_INTERRUPTED, rejection.why)
+        if rejection.is_over_quota:
+            return accounts.quota_failure(rejection.why, rejection.retry_after)
         return means_module.refusal(
-            errors.NO_TIME, given_up.why, given_up.retry_after
+            errors.NO_TIME, rejection.why, rejection.retry_after
         )
 
     def _failure(self) -> errors.Failure:
         if self._relay.has_reached_caller:
-            raise Broken(self._detail)
+            raise StreamBroken(self._detail)
         if self._sends.surely_not_run:
             return means_module.refusal(
-                errors.NO_ENGINE, self._detail, _RETRY_AFTER
+                errors.NO_ENGINE, self._detail, _RETRY_AFTER_S
             )
-        if means_module.over(self._end_by):
+        if means_module.over(self._deadline):
             return errors.Failure(errors.DEADLINE, self._detail)
         return errors.Failure(errors.SEND_INTERRUPTED, self._detail)
 
-    def _log_lost(
-        self, text: str, engine: upstreams.Upstream, lost: senders.FailedSend
+    def _log_failure(
+        self, text: str, engine: upstreams.Upstream, cause: senders.FailedSend
     ) -> None:
         seconds = clock.now() - self._sent_at
-        events = self._relay.count
-        ending.lost(text, self._call, engine.id, lost, events, seconds)
+        events = self._relay.event_count
+        stream_log.log_failure(
+            text, self._call, engine.id, cause, events, seconds
+        )
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The course of a request to a plain service: choose, send, maybe again.
+"""Handles a request to a plain service: load balancing, sends and retries.
 
-A request that may run only once is sent again only while it is certain that
-no upstream has begun it. One that may run more often goes to a second
-upstream after an error, or when the first says nothing for too long, if the
-shared budget allows that.
+A request that may be executed only once is retried only while it is certain
+that no upstream has started it. A repeatable request is sent to a second
+upstream after an error, or if the first one is silent for too long, provided
+that the shared retry budget allows it.
 """
 
 import collections.abc
@@ -35,35 +35,28 @@
 from galenahatch import logs
 from galenahatch.platform import wire
 
-_FIRST_SHARE: typing.Final = 0.4
-"""Part of the time left that the first upstream of a repeatable request may
-stay silent; the second needs the rest."""
-_CONNECT: typing.Final = 0.25
-"""Seconds for a connection; takes some ms in one region."""
-_RETRY_AFTER: typing.Final = 0.1
-_PROMISES: typing.Final = frozenset((408, 421, 429, 503))
-"""Statuses that promise a caller that its request has not run."""
+_FIRST_TIMEOUT_SHARE: typing.Final = 0.4
+"""Share of the remaining time after which a repeatable request is retried if
+its first upstream is silent; the second attempt needs the rest."""
+_CONNECT_TIMEOUT_S: typing.Final = 0.25
+"""Connections take a few ms within a region."""
+_RETRY_AFTER_S: typing.Final = 0.1
+_NOT_EXECUTED_STATUSES: typing.Final = frozenset((408, 421, 429, 503))
+"""Statuses that tell a caller that its request was not executed."""
 _log = logs.Log('plain')
 
 
 @dataclasses.dataclass
 class _Attempt:
-    """What one send came to."""
+    """One send and its result: a response or a failure."""
 
     upstream: ids.UpstreamId
-    whole: means_module.Whole | None
-    lost: senders.FailedSend | None
+    response: means_module.Whole | None
+    failure: senders.FailedSend | None
 
 
-class Course:
-    """One request to a plain service.
-
-    Args:
-        means: shared by all requests.
-        call: of the caller.
-        route: that it takes.
-        service: that it goes to.
-    """
+class RequestHandler:
+    """Handles one request to a plain service."""
 
     def __init__(
         self,
@@ -78,53 +71,53 @@
         self._service = service
         self._sends = fate.Sends()
         self._avoid: set[ids.UpstreamId] = set()
-        # Seconds until upstreams that could not be chosen have room again.
-        self._limited: dict[ids.UpstreamId, float] = {}
+        # Seconds until the upstreams that were skipped accept requests again.
+        self._rate_limited: dict[ids.UpstreamId, float] = {}
         self._paused: dict[ids.UpstreamId, float] = {}
-        self._end_by = means_module.end_by(call, route)
-        self._answer: means_module.Whole | None = None
+        self._deadline = means_module.end_by(call, route)
+        self._error_response: means_module.Whole | None = None
         self._detail = ''
 
     async def run(self) -> means_module.Whole | errors.Failure:
-        """Return the answer for the caller."""
+        """Return the response for the caller, or why there is none."""
         self._means.budget.request(self._service, self._call.arrived_at)
-        tries = 0
-        while self._may_try(tries):
+        attempts = 0
+        while self._may_try(attempts):
             upstream = await self._choose()
             if upstream is None:
                 break
-            tries += 1
+            attempts += 1
             attempt = await self._send(upstream)
-            done = self._judge(attempt)
-            if done is not None:
-                return done
-            if attempt.lost is not None and attempt.lost.is_disconnect:
+            response = self._final_response(attempt)
+            if response is not None:
+                return response
+            if attempt.failure is not None and attempt.failure.is_disconnect:
                 await self._means.guard.cut(self._call, upstream)
             if self._means.guard.holds(self._call):
                 return self._means.guard.failure(self._call)
-        return self._answer or self._failure()
+        return self._error_response or self._failure()
 
-    def _may_try(self, tries: int) -> bool:
-        if means_module.over(self._end_by):
+    def _may_try(self, attempts: int) -> bool:
+        if means_module.over(self._deadline):
             return False
         if not self._sends.may_send(
             self._route.repeatable, self._route.max_attempts
         ):
             return False
-        if not tries:
+        if not attempts:
             return True
         return self._means.budget.spend(self._service, clock.now())
 
     async def _choose(self) -> upstreams.Upstream | None:
-        """Return an upstream that a request may be sent to now."""
-        self._limited.clear()
+        """Return an upstream that accepts a request now, or None."""
+        self._rate_limited.clear()
         while True:
             now = clock.now()
             usable = self._means.directory.registry.usable(self._service, now)
-            self._paused = self._pauses_of(usable)
+            self._paused = self._paused_among(usable)
             chosen = self._means.balancer.choose(
                 usable,
-                self._avoid | self._limited.keys() | self._paused.keys(),
+                self._avoid | self._rate_limited.keys() | self._paused.keys(),
                 now,
                 self._route.repeatable,
             )
@@ -133,165 +126,176 @@
             wait = await self._means.rate_limits.acquire(chosen.id)
             if not wait and self._takes_work(chosen.id):
                 return chosen
-            self._limited[chosen.id] = wait
-        tried = (
+            self._rate_limited[chosen.id] = wait
+        summary = (
             f'{len(usable)} usable, {len(self._avoid)} tried,'
-            f' {len(self._limited)} limited, {len(self._paused)} paused'
+            f' {len(self._rate_limited)} limited, {len(self._paused)} paused'
         )
-        self._detail = f'{tried}; {self._detail}'.rstrip('; ')
+        self._detail = f'{summary}; {self._detail}'.rstrip('; ')
         return None
 
-    def _pauses_of(
+    def _paused_among(
         self, usable: collections.abc.Iterable[upstreams.Upstream]
     ) -> dict[ids.UpstreamId, float]:
-        """Return the upstreams that want nothing, and for how long."""
+        """Return the upstreams that asked for a pause, and its seconds."""
         paused = self._means.notices.paused()
         return {u.id: paused[u.id] for u in usable if u.id in paused}
 
     def _takes_work(self, upstream: ids.UpstreamId) -> bool:
-        """Return whether an upstream may be sent to after all."""
+        """Return whether an upstream still accepts work."""
         registry = self._means.directory.registry
         return registry.takes_work(upstream, clock.now())
 
     async def _send(self, upstream: upstreams.Upstream) -> _Attempt:
-        left = means_module.left(self._end_by)
-        once = not self._route.repeatable
-        again = self._route.max_attempts > self._sends.ran + 1
-        share = _FIRST_SHARE if again and not once else 1.0
+        time_left = means_module.left(self._deadline)
+        only_once = not self._route.repeatable
+        may_retry = self._route.max_attempts > self._sends.ran + 1
+        timeout_share = (
+            _FIRST_TIMEOUT_SHARE if may_retry and not only_once else 1.0
+        )
         headers = wire.outgoing(
-            self._call, calls.ForwardingOptions(upstream.id, left)
+            self._call, calls.ForwardingOptions(upstream.id, time_left)
         )
         self._means.balancer.begin(upstream.id)
         self._sends.begin()
-        began = clock.now()
+        started_at = clock.now()
         attempt = _Attempt(upstream.id, None, None)
         try:
-            answer = await self._means.sender.send(
+            response = await self._means.sender.send(
                 upstream,
                 self._call,
                 headers,
                 wire.answer_head,
-                timeout=left * share,
-                connect_timeout=min(_CONNECT, left),
-                use_pool=not once,
+                timeout=time_left * timeout_share,
+                connect_timeout=min(_CONNECT_TIMEOUT_S, time_left),
+                use_pool=not only_once,
             )
-            if isinstance(answer, senders.FailedSend):
-                attempt.lost = answer
+            if isinstance(response, senders.FailedSend):
+                attempt.failure = response
             else:
-                await self._read(answer, attempt)
+                await self._read_response(response, attempt)
         finally:
-            seconds = clock.now() - began
-            if attempt.lost is None and attempt.whole is None:
-                self._abandon(upstream.id, seconds)
+            seconds = clock.now() - started_at
+            if attempt.failure is None and attempt.response is None:
+                self._record_cancelled(upstream.id, seconds)
             else:
-                self._note(attempt, seconds)
+                self._record(attempt, seconds)
         return attempt
 
-    def _abandon(self, upstream: ids.UpstreamId, seconds: float) -> None:
-        """Note a send whose caller left."""
+    def _record_cancelled(
+        self, upstream: ids.UpstreamId, seconds: float
+    ) -> None:
+        """Record a send that was cancelled because the caller left."""
         self._sends.end(fate.Fate.UNCERTAIN)
         self._means.balancer.left(upstream)
         _log.info(
-            'Caller left.',
+            'Caller disconnected.',
             request=self._call.id,
             upstream=upstream,
             seconds=seconds,
         )
 
-    async def _read(self, answer: senders.Response, attempt: _Attempt) -> None:
-        body = await answer.body()
-        whole = body is not None and not answer.head.is_encoded
-        if answer.head.status < 300 and not answer.head.is_signed:
-            whole = False
-        if whole and body is not None:
-            attempt.whole = means_module.Whole(answer.head, body)
+    async def _read_response(
+        self, response: senders.Response, attempt: _Attempt
+    ) -> None:
+        body = await response.body()
+        is_complete = body is not None and not response.head.is_encoded
+        if response.head.status < 300 and not response.head.is_signed:
+            is_complete = False
+        if is_complete and body is not None:
+            attempt.response = means_module.Whole(response.head, body)
         else:
-            attempt.lost = senders.FailedSend(
+            attempt.failure = senders.FailedSend(
                 fate.Fate.UNCERTAIN,
-                'answer not whole',
-                head=answer.head,
+                'incomplete response',
+                head=response.head,
                 is_disconnect=body is None,
             )
 
-    def _note(self, attempt: _Attempt, seconds: float) -> None:
-        """Keep what a send came to, and log it."""
-        lost = attempt.lost
-        known = lost.fate if lost is not None else fate.Fate.ANSWERED
-        self._sends.end(known)
-        head = attempt.whole.head if attempt.whole else None
-        if lost is not None:
-            head = lost.head
-            self._detail = lost.detail
+    def _record(self, attempt: _Attempt, seconds: float) -> None:
+        """Record and log the result of a send."""
+        failure = attempt.failure
+        send_fate = failure.fate if failure is not None else fate.Fate.ANSWERED
+        self._sends.end(send_fate)
+        head = attempt.response.head if attempt.response else None
+        if failure is not None:
+            head = failure.head
+            self._detail = failure.detail
         self._avoid.add(attempt.upstream)
         status = head.status if head is not None else 0
-        self._learn(attempt, head, lost)
-        instruments.sends.add(1, {'fate': known.value})
+        self._update_balancer(attempt, head, failure)
+        instruments.sends.add(1, {'fate': send_fate.value})
         _log.info(
             'Sent.',
             request=self._call.id,
             upstream=attempt.upstream,
-            fate=known.value,
+            fate=send_fate.value,
             status=status,
             seconds=seconds,
-            digest=self._call.digest if lost is not None else '',
-            detail=lost.detail if lost is not None else '',
+            digest=self._call.digest if failure is not None else '',
+            detail=failure.detail if failure is not None else '',
         )
 
-    def _learn(
+    def _update_balancer(
         self,
         attempt: _Attempt,
         head: calls.ResponseHead | None,
-        lost: senders.FailedSend | None,
+        failure: senders.FailedSend | None,
     ) -> None:
         now = clock.now()
         if head is not None and head.load is not None:
             self._means.balancer.told_load(attempt.upstream, head.load, now)
-        good = lost is None and head is not None and head.status < 500
+        is_success = failure is None and head is not None and head.status < 500
         registry = self._means.directory.registry
-        avoided = self._means.balancer.end(
+        is_ejected = self._means.balancer.end(
             attempt.upstream,
-            good,
+            is_success,
             registry.usable(self._service, now),
             now,
         )
-        if avoided is None:
+        if is_ejected is None:
             return
         _log.warning(
-            'Upstream avoided.' if avoided else 'Upstream used again.',
+            'Upstream ejected.' if is_ejected else 'Upstream readmitted.',
             upstream=attempt.upstream,
             share=self._means.balancer.outliers.share(
                 attempt.upstream, now
             ).likely,
         )
 
-    def _judge(self, attempt: _Attempt) -> means_module.Whole | None:
-        """Return an answer to pass on; keep one that may be bettered."""
-        whole = attempt.whole
-        if whole is None:
+    def _final_response(self, attempt: _Attempt) -> means_module.Whole | None:
+        """Return the response if it is final; store an error response.
+
+        A stored response is returned to the caller if no retry does better.
+        """
+        response = attempt.response
+        if response is None:
             return None
-        if whole.head.status < 300:
-            # An upstream may answer with an error and not have run it.
+        if response.head.status < 300:
+            # An error response doesn't prove that the request was executed.
             self._means.guard.served(self._call)
-        if whole.head.status in _PROMISES:
-            # It ran, so the caller must not be told that it did not.
-            self._detail = f'status {whole.head.status} after a run'
+        if response.head.status in _NOT_EXECUTED_STATUSES:
+            # The request was executed, but this status denies it.
+            self._detail = f'status {response.head.status} after execution'
             return None
-        if whole.head.status < 500:
-            return whole
-        self._answer = whole
+        if response.head.status < 500:
+            return response
+        self._error_response = response
         return None
 
     def _failure(self) -> errors.Failure:
         if self._sends.surely_not_run:
             return self._refusal()
-        if means_module.over(self._end_by):
+        if means_module.over(self._deadline):
             return errors.Failure(errors.DEADLINE, self._detail)
         return errors.Failure(errors.SEND_INTERRUPTED, self._detail)
 
     def _refusal(self) -> errors.Failure:
-        """Refuse a request that has not run, with when to come back."""
-        waits = [*self._limited.values(), *self._paused.values()]
-        reason = errors.RATE_LIMITED if self._limited else errors.NO_ENGINE
+        """Refuse a request that was not executed, with a retry time."""
+        retry_times = [*self._rate_limited.values(), *self._paused.values()]
+        reason = (
+            errors.RATE_LIMITED if self._rate_limited else errors.NO_ENGINE
+        )
         return means_module.refusal(
-            reason, self._detail, min(waits, default=_RETRY_AFTER)
+            reason, self._detail, min(retry_times, default=_RETRY_AFTER_S)
         )
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Reading a prompt at a prefill engine, and its result until it is taken.
+"""Runs the prefill of a request and tracks its result until it is fetched.
 
-The result is held by its engine for a short time only. It is kept here as
-long as a decode engine may still take it, so that another one can be tried
-without reading the prompt again; what nobody takes is dropped there.
+A prefill engine holds a result for a short time only. The handle is kept
+here as long as a decode engine may fetch the result, so that a second decode
+engine can be tried without another prefill. An unused handle is deleted.
 """
 
 import dataclasses
@@ -33,45 +33,41 @@
 from galenahatch.platform import engines
 from galenahatch.platform import wire
 
-_CONNECT: typing.Final = 0.3
-"""Seconds for a connection; takes some ms in one region."""
-_LIMIT: typing.Final = 1.2
-"""Seconds for a prefill; the users' largest prompts take 0.2 s."""
-_USE: typing.Final = 0.8
-"""Part of the life of a result in which it is still sent to a decode engine;
-the rest is for the way there."""
-_FREE_TIMEOUT: typing.Final = 1.0
+_CONNECT_TIMEOUT_S: typing.Final = 0.3
+"""Connections take a few ms within a region."""
+_PREFILL_TIMEOUT_S: typing.Final = 1.2
+"""The users' largest prompts take 0.2 s."""
+_USABLE_TTL_SHARE: typing.Final = 0.8
+"""Share of a handle's TTL in which it is still passed to a decode engine; the
+rest is left for the transfer."""
+_FREE_TIMEOUT_S: typing.Final = 1.0
 _log = logs.Log('prefill')
 
 
 @dataclasses.dataclass(frozen=True)
-class Again:
-    """An attempt that did not get to an answer.
+class Retry:
+    """A failed attempt, after which the request may be retried.
 
     Attributes:
-        failed: engine that the request avoids from now on.
-        at_fault: engines that may be to blame.
-        unreachable: whether nothing could be sent to the failed one.
-        cut: engine whose connection broke soon after it had begun.
+        avoid: Engine that further attempts avoid.
+        at_fault: Engines that may have caused the failure.
+        unreachable: Whether no connection to the avoided engine was possible.
+        disconnected: Engine whose connection broke soon after it had begun
+            the request, if any.
     """
 
-    failed: ids.UpstreamId
+    avoid: ids.UpstreamId
     detail: str
     at_fault: tuple[ids.UpstreamId, ...] = ()
     unreachable: bool = False
-    cut: upstreams.Upstream | None = None
+    disconnected: upstreams.Upstream | None = None
 
 
-class Reader:
-    """The prefill of one request.
-
-    Args:
-        means: shared by all requests.
-        call: of the caller.
-        service: that it goes to.
+class Prefill:
+    """Prefill of one request.
 
     Attributes:
-        engine: that read the prompt last, or empty.
+        engine: Engine of the last prefill, or empty.
     """
 
     def __init__(
@@ -86,130 +82,132 @@
         self._service = service.name
         self._ttl = service.engine.handle_ttl
         self._tokens = call.prompt.tokens
-        self._count = 0
-        self._source = ''
-        self._until = 0.0
+        self._attempts = 0
+        self._kv_source = ''
+        self._fetch_by = 0.0
         self.engine = ids.UpstreamId('')
 
     def extra_sends(self) -> int:
-        """Return the sends beyond the first that one more reading takes.
+        """Return how many sends beyond the first another prefill would take.
 
-        The first reading is free of the retry budget; what never got to an
-        engine is none.
+        The first prefill takes nothing from the retry budget, and neither
+        does a send that did not reach an engine.
         """
-        return int(self._count > 0 and not self.source())
+        return int(self._attempts > 0 and not self.kv_source())
 
-    def source(self) -> str:
-        """Return address and handle of a result that can still be taken."""
-        return self._source if clock.now() < self._until else ''
+    def kv_source(self) -> str:
+        """Return address and handle of a result that can still be fetched."""
+        return self._kv_source if clock.now() < self._fetch_by else ''
 
-    def taken(self) -> None:
-        """Note that a decode engine has taken the result over."""
-        self._source = ''
+    def mark_fetched(self) -> None:
+        """Record that a decode engine has fetched the result."""
+        self._kv_source = ''
 
-    async def read(
+    async def run(
         self,
         stream: ids.StreamId,
         engine: upstreams.Upstream,
-        last_event: str,
-        end_by: float,
-    ) -> Again | None:
-        """Read the prompt; keep the handle of the result.
+        last_event_id: str,
+        deadline: float,
+    ) -> Retry | None:
+        """Run the prefill and store the handle of its result.
 
-        The budget for a further reading was granted with the engines
-        (`extra_sends`).
+        The retry budget for a repeated prefill was granted together with the
+        engines (`extra_sends`).
         """
-        now = clock.now()
-        if not self._means.directory.registry.takes_work(engine.id, now):
-            return Again(engine.id, 'prefill engine gone')
+        started_at = clock.now()
+        if not self._means.directory.registry.takes_work(
+            engine.id, started_at
+        ):
+            return Retry(engine.id, 'prefill engine gone')
         if self._means.notices.pause_left(engine.id):
-            return Again(engine.id, 'prefill engine wants a pause')
-        answer = await self._send(engine, last_event, end_by)
-        if isinstance(answer, senders.FailedSend):
-            return self._lost(engine, answer)
-        self._count += 1
-        body = await answer.body()
-        if body is None or answer.head.status != 200:
-            detail = f'prefill: status {answer.head.status}'
-            return Again(engine.id, detail, (engine.id,))
-        done = engines.prefilled(body)
-        if isinstance(done, errors.Failure):
-            return Again(engine.id, done.detail, (engine.id,))
-        self._keep(engine, done.handle)
+            return Retry(engine.id, 'prefill engine asked for a pause')
+        response = await self._send(engine, last_event_id, deadline)
+        if isinstance(response, senders.FailedSend):
+            return self._handle_failure(engine, response)
+        self._attempts += 1
+        body = await response.body()
+        if body is None or response.head.status != 200:
+            detail = f'prefill: status {response.head.status}'
+            return Retry(engine.id, detail, (engine.id,))
+        result = engines.prefilled(body)
+        if isinstance(result, errors.Failure):
+            return Retry(engine.id, result.detail, (engine.id,))
+        self._store_handle(engine, result.handle)
         self._means.ownership.report_prefilled(
-            stream, self._service, self._tokens, clock.now() - now
+            stream, self._service, self._tokens, clock.now() - started_at
         )
         return None
 
-    def _lost(
-        self, engine: upstreams.Upstream, lost: senders.FailedSend
-    ) -> Again:
-        unreachable = lost.fate is fate.Fate.NOT_SENT
-        self._count += not unreachable
+    def _handle_failure(
+        self, engine: upstreams.Upstream, failure: senders.FailedSend
+    ) -> Retry:
+        unreachable = failure.fate is fate.Fate.NOT_SENT
+        self._attempts += not unreachable
         _log.warning(
-            'Prefill lost.',
+            'Prefill request failed.',
             request=self._call.id,
             engine=engine.id,
-            fate=lost.fate.value,
+            fate=failure.fate.value,
             digest=self._call.digest,
-            detail=lost.detail,
+            detail=failure.detail,
         )
-        return Again(
+        return Retry(
             engine.id,
-            lost.detail,
+            failure.detail,
             (engine.id,),
             unreachable=unreachable,
-            cut=engine if lost.is_disconnect else None,
+            disconnected=engine if failure.is_disconnect else None,
         )
 
     async def _send(
-        self, engine: upstreams.Upstream, last_event: str, end_by: float
+        self, engine: upstreams.Upstream, last_event_id: str, deadline: float
     ) -> senders.Response | senders.FailedSend:
-        left = means_module.left(end_by)
-        directions = calls.ForwardingOptions(
+        time_left = means_module.left(deadline)
+        options = calls.ForwardingOptions(
             engine.id,
-            left,
+            time_left,
             prefill_only=True,
-            last_event_id=last_event,
+            last_event_id=last_event_id,
             priority=self._call.priority,
         )
         return await self._means.sender.send(
             engine,
             self._call,
-            wire.outgoing(self._call, directions),
+            wire.outgoing(self._call, options),
             wire.answer_head,
-            timeout=min(left, _LIMIT),
-            connect_timeout=_CONNECT,
+            timeout=min(time_left, _PREFILL_TIMEOUT_S),
+            connect_timeout=_CONNECT_TIMEOUT_S,
             use_pool=True,
         )
 
-    def _keep(self, engine: upstreams.Upstream, handle: str) -> None:
+    def _store_handle(self, engine: upstreams.Upstream, handle: str) -> None:
         self.engine = engine.id
-        self._source = f'{engine.address}/{handle}'
-        self._until = clock.now() + _USE * self._ttl
-
-    def free(self) -> None:
-        """Drop a result that nobody will take."""
-        source = self.source()
-        self._source = ''
-        if not source or self._means.notices.pause_left(self.engine):
-            # It lapses by itself where the engine wants no calls.
+        self._kv_source = f'{engine.address}/{handle}'
+        self._fetch_by = clock.now() + _USABLE_TTL_SHARE * self._ttl
+
+    def delete_unused(self) -> None:
+        """Delete a result that will not be fetched."""
+        kv_source = self.kv_source()
+        self._kv_source = ''
+        if not kv_source or self._means.notices.pause_left(self.engine):
+            # If the engine has asked for a pause, the handle just expires.
             return
-        address, _, handle = source.partition('/')
+        address, _, handle = kv_source.partition('/')
 
-        async def free() -> None:
+        async def delete_handle() -> None:
             reply = await self._means.sender.request_small(
                 'DELETE',
                 address,
                 engines.handle_path(handle),
-                _FREE_TIMEOUT,
+                _FREE_TIMEOUT_S,
             )
             if isinstance(reply, errors.Failure):
                 _log.warning(
-                    'Handle not freed.',
+                    'Failed to delete a prefill handle.',
                     request=self._call.id,
                     engine=address,
                     detail=reply.detail,
                 )
 
-        self._means.tasks.once(free())
+        self._means.tasks.once(delete_handle())
--- a/galenahatch/gateway/relay.py
+++ b/galenahatch/gateway/relay.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Passing a stream's events on to its caller.
+"""Relays the events of a stream to its caller.
 
-Only whole events are passed on, so a stream that goes on at another engine
-begins where the last event ended. The times that matter to the caller are
-taken here: the first event of a run, and the longest pause.
+Only complete events are relayed, so a stream that resumes on another engine
+continues after the last complete event. This module also records the times
+that callers notice: the first event and the longest pause between events.
 """
 
 import dataclasses
@@ -27,12 +27,12 @@
 
 @dataclasses.dataclass
 class Spent:
-    """Where the time to the first event went, in seconds.
+    """Components of the time to the first event, in seconds.
 
     Attributes:
-        waited: for the owner's decisions.
-        read: for prompts to be read.
-        made: by decode engines, from the last send on.
+        waited: Time spent waiting for placement decisions of the owner.
+        read: Time spent on prefill.
+        made: Time from the last send to a decode engine to its first event.
     """
 
     waited: float = 0.0
@@ -41,73 +41,74 @@
 
 
 class Relay:
-    """One caller's stream, over all its runs.
+    """Relays one caller's stream, which may span runs on several engines.
 
     Args:
-        sink: where it goes.
-        last_event: id of the event that the caller has had already.
+        sink: Connection to the caller.
+        last_event_id: Id of the last event that the caller already has.
 
     Attributes:
-        first_at: when the first event of all came; monotonic seconds.
-        longest_pause: seconds between two events of one run.
-        run_count: whole events of the present run.
-        run_first_at: when its first event came.
+        first_event_at: Arrival of the stream's first event; monotonic seconds.
+        longest_pause: Longest time between two events of one run, in seconds.
+        run_event_count: Number of complete events in the current run.
+        run_started_at: Arrival of the current run's first event; monotonic
+            seconds.
     """
 
-    def __init__(self, sink: means_module.Sink, last_event: str) -> None:
+    def __init__(self, sink: means_module.Sink, last_event_id: str) -> None:
         self._sink = sink
         self._splitter = events.EventSplitter()
-        self._splitter.last_id = last_event
-        self._event_at = 0.0
-        self.first_at = 0.0
+        self._splitter.last_id = last_event_id
+        self._last_event_at = 0.0
+        self.first_event_at = 0.0
         self.longest_pause = 0.0
-        self.run_count = 0
-        self.run_first_at = 0.0
+        self.run_event_count = 0
+        self.run_started_at = 0.0
 
     @property
     def has_reached_caller(self) -> bool:
-        """Whether the caller has had the head of the answer."""
+        """Whether the response head has been sent to the caller."""
         return self._sink.begun
 
     @property
-    def last_event(self) -> str:
-        """Id of the last whole event."""
+    def last_event_id(self) -> str:
+        """Id of the last complete event."""
         return self._splitter.last_id
 
     @property
-    def count(self) -> int:
-        """Whole events so far."""
+    def event_count(self) -> int:
+        """Number of complete events so far, over all runs."""
         return self._splitter.count
 
     @property
-    def is_within_event(self) -> bool:
-        """Whether a part of an event has come, and not its end."""
+    def has_partial_event(self) -> bool:
+        """Whether an event has been received in part."""
         return bool(self._splitter.rest)
 
-    def restart(self) -> None:
-        """Begin with the answer of another run."""
+    def begin_run(self) -> None:
+        """Begin a new run, whose response comes from another engine."""
         self._splitter.restart()
-        self.run_count = 0
+        self.run_event_count = 0
 
     def feed(self, data: bytes) -> bytes:
-        """Take what came; return the whole events in it."""
-        before = self._splitter.count
-        whole = self._splitter.feed(data)
-        if not whole:
-            return whole
+        """Parse received bytes and return the events that are complete."""
+        count_before = self._splitter.count
+        complete = self._splitter.feed(data)
+        if not complete:
+            return complete
         now = clock.now()
-        if self.run_count:
-            pause = now - self._event_at
+        if self.run_event_count:
+            pause = now - self._last_event_at
             self.longest_pause = max(self.longest_pause, pause)
         else:
-            self.run_first_at = now
-            self.first_at = self.first_at or now
-        self.run_count += self._splitter.count - before
-        self._event_at = now
-        return whole
-
-    async def pass_on(self, head: calls.ResponseHead, whole: bytes) -> None:
-        """Send whole events to the caller."""
+            self.run_started_at = now
+            self.first_event_at = self.first_event_at or now
+        self.run_event_count += self._splitter.count - count_before
+        self._last_event_at = now
+        return complete
+
+    async def forward(self, head: calls.ResponseHead, complete: bytes) -> None:
+        """Send complete events to the caller, after the head if needed."""
         if not self._sink.begun:
             await self._sink.begin(head)
-        await self._sink.write(whole)
+        await self._sink.write(complete)
--- a/galenahatch/gateway/ending.py
+++ b/galenahatch/gateway/stream_log.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What streams came to: metrics, and one log line each."""
+"""Log lines and metrics about streams that completed or failed."""
 
 import dataclasses
 
@@ -26,82 +26,85 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Made:
-    """What the last run of a stream made.
+class RunOutput:
+    """Output of the last run of a stream.
 
     Attributes:
-        tokens: of its events.
-        seconds: that they took.
+        tokens: Number of tokens generated.
+        seconds: Generation time of these tokens.
     """
 
     tokens: int
     seconds: float
 
 
-def lost(
-    sentence: str,
+def log_failure(
+    text: str,
     call: calls.Call,
     engine: ids.UpstreamId,
-    send: senders.FailedSend,
+    failure: senders.FailedSend,
     events: int,
     seconds: float,
 ) -> None:
-    """Note that a send to a decode engine came to no end.
+    """Log that a request to a decode engine failed.
 
     Args:
-        sentence: of the log line.
-        call: of the caller.
-        engine: that it went to.
-        send: what is known of it.
-        events: that the caller has had.
-        seconds: since it was sent.
+        text: Message of the log line.
+        call: Request of the caller.
+        engine: Decode engine.
+        failure: Cause of the failure.
+        events: Number of events relayed to the caller.
+        seconds: Seconds since the request was sent.
     """
     _log.warning(
-        sentence,
+        text,
         request=call.id,
         engine=engine,
-        fate=send.fate.value,
+        fate=failure.fate.value,
         events=events,
         digest=call.digest,
         seconds=seconds,
-        detail=send.detail,
+        detail=failure.detail,
     )
 
 
-def streamed(
+def log_completed_stream(
     call: calls.Call,
     relay: relays.Relay,
     spent: relays.Spent,
-    stride: int,
+    tokens_per_event: int,
     engine: ids.UpstreamId,
-) -> Made:
-    """Note that a caller has a whole stream.
+) -> RunOutput:
+    """Log a completed stream and record its metrics.
 
     Args:
-        call: of the caller.
-        relay: that passed it on.
-        spent: where the time to the first event went.
-        stride: tokens of an event.
-        engine: that made the last of it.
+        call: Request of the caller.
+        relay: Relay that forwarded the stream.
+        spent: Components of the time to the first event.
+        tokens_per_event: Number of tokens in each event.
+        engine: Decode engine of the last run.
+
+    Returns:
+        Output of the last run.
     """
-    # The first event's tokens were made before the clock ran.
-    share = relay.run_count / max(1, relay.run_count - 1)
-    seconds = (clock.now() - relay.run_first_at) * share
-    first = relay.first_at - call.arrived_at
+    # The first event's tokens were generated before the clock was started.
+    share = relay.run_event_count / max(1, relay.run_event_count - 1)
+    seconds = (clock.now() - relay.run_started_at) * share
+    first = relay.first_event_at - call.arrived_at
     instruments.first_event_seconds.record(first)
     instruments.pause_seconds.record(relay.longest_pause)
     assert call.prompt is not None
     _log.info(
-        'Streamed.',
+        'Stream completed.',
         request=call.id,
         prompt=call.prompt.tokens,
         likely=call.prompt.estimated_output or 0,
         most=call.prompt.max_output,
-        tokens=relay.count * stride,
+        tokens=relay.event_count * tokens_per_event,
         first=first,
         seconds=seconds,
         pause=relay.longest_pause,
         engine=engine,
         **dataclasses.asdict(spent),
     )
-    return Made(relay.run_count * stride, seconds)
+    return RunOutput(relay.run_event_count * tokens_per_event, seconds)
--- a/galenahatch/test/test_stops.py
+++ b/galenahatch/test/test_stops.py
@@ -15,8 +15,8 @@
 Three faults were found here. A call of two seconds ended without an answer
 during a stop. The gateway did not run as the balancer had looked away, came
 back, and ended before it was through with what had come: `Stopped.` with
-`in_flight` 0, and 2 ms later `Sent.` or `Caller left.` of the request that it
-had read by then.
+`in_flight` 0, and 2 ms later `Sent.` or `Caller disconnected.` of the request
+that it had read by then.
 
 A gateway that stops went on taking callers to its last moment. What was in
 flight then was cut, and what came after that, on a connection accepted while
