--- a/galenahatch/gateway/accounts.py
+++ b/galenahatch/gateway/accounts.py
@@ -10,11 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What customers use of their quotas, and what gateways tell of it.
+"""Accounts for customers' quota usage and exchanges it between gateways.
 
-The owner counts generations, which ask it for engines. Plain calls are
-counted by the gateway that takes them; the owner hears of them with the next
-beat, and tells with its answer which customers are short (`core/quotas`).
+The owner charges generations when it places them. Plain calls are charged by
+the gateway that receives them and reported to the owner with the next
+heartbeat; the owner's reply lists the customers whose quota is nearly
+exhausted (`core/quotas`).
 """
 
 import collections.abc
@@ -30,27 +31,27 @@
 from galenahatch import ids
 from galenahatch import logs
 
-_LOOK_EVERY: typing.Final = 0.05
-"""Seconds for which told levels are not looked up again: an owner answers
-hundreds of beats a second."""
-_MOST_LABELS: typing.Final = 100
-"""Customers that are counted each by itself."""
-_REST: typing.Final = '(others)'
+_REFRESH_INTERVAL_S: typing.Final = 0.05
+"""Lifetime of the cached list of nearly exhausted quotas: an owner answers
+hundreds of heartbeats a second."""
+_MAX_CUSTOMER_LABELS: typing.Final = 100
+"""Number of customers that have a metric label of their own."""
+_OTHERS_LABEL: typing.Final = '(others)'
 _log = logs.Log('accounts')
 
 UsageListener = collections.abc.Callable[[tuple[messages.Used, ...]], None]
 
 
 class Accounts:
-    """This gateway's part of it.
+    """Quota accounting of this gateway.
 
     Args:
-        directory: customers and their quotas.
-        bound: that all gateways together keep.
+        directory: Source of the customers and their quotas.
+        bound: Limit that all gateways together must respect.
 
     Attributes:
-        announce: tells the owner at once what was used here.
-        size: returns how many gateways there are.
+        on_usage: Called to report usage to the owner without delay.
+        gateway_count: Returns the number of gateways.
     """
 
     def __init__(
@@ -58,33 +59,35 @@
     ) -> None:
         self._directory = directory
         self._quotas = quotas.Quotas[ids.CustomerName](bound, clock.RANDOM)
-        self._version = 0
+        self._config_version = 0
         self._labels: set[ids.CustomerName] = set()
-        self._low: tuple[messages.Level, ...] = ()
-        self._looked_at = 0.0
+        self._nearly_exhausted: tuple[messages.Level, ...] = ()
+        self._refreshed_at = 0.0
         self.on_usage: UsageListener = lambda used: None
         self.gateway_count: collections.abc.Callable[[], int] = lambda: 1
         directory.on_change(self._configure)
 
     def _configure(self) -> None:
         config = self._directory.config
-        if config is None or config.version == self._version:
+        if config is None or config.version == self._config_version:
             return
-        self._version = config.version
+        self._config_version = config.version
         instruments.config_version.set(config.version)
-        known = config.customers.by_name if config.customers else {}
-        self._quotas.configure(known, clock.now())
+        customers_by_name = (
+            config.customers.by_name if config.customers else {}
+        )
+        self._quotas.configure(customers_by_name, clock.now())
 
-    # Plain calls, counted here.
+    # Plain calls, charged by this gateway.
 
     def charge(self, call: calls.Call) -> errors.Failure | None:
-        """Count a plain call; return why it may not run."""
+        """Charge a plain call; return a failure if it is over quota."""
         if call.customer is None or not call.quota_units:
             return None
         denied = self._quotas.take(
             call.customer.name, call.quota_units, clock.now(), told=True
         )
-        self._note(call.customer.name, call.quota_units, denied)
+        self._record(call.customer.name, call.quota_units, denied)
         if denied is not None:
             return quota_failure(denied.why, denied.retry_after)
         if self._quotas.must_tell(call.customer.name, self.gateway_count()):
@@ -92,45 +95,47 @@
         return None
 
     def refund(self, call: calls.Call) -> None:
-        """Take back the charge of a plain call that did not run."""
+        """Refund the charge of a plain call that was not executed."""
         if call.customer is not None and call.quota_units:
             self._quotas.give_back(
                 call.customer.name, call.quota_units, clock.now(), told=True
             )
 
     def check_size(self, call: calls.Call) -> errors.Failure | None:
-        """Return why a request can never run, if it is too large."""
+        """Return a failure if a request exceeds its customer's bucket size."""
         if call.customer is None or not call.quota_units:
             return None
-        most = self._quotas.most(call.customer.name)
-        if most is None or call.quota_units <= most:
+        max_units = self._quotas.most(call.customer.name)
+        if max_units is None or call.quota_units <= max_units:
             return None
         return quota_failure(
-            f'{call.quota_units:.0f} units, {most:.0f} at most', None
+            f'{call.quota_units:.0f} units, {max_units:.0f} at most', None
         )
 
-    # Generations, counted by the owner.
+    # Generations, charged by the owner.
 
     def grant(
         self, customer: ids.CustomerName, units: float
     ) -> quotas.Denied | None:
-        """Count a generation as the owner; return why it may not run."""
+        """Charge a generation as the owner; return a denial if over quota."""
         if not units:
             return None
         denied = self._quotas.take(customer, units, clock.now())
-        self._note(customer, units, denied)
+        self._record(customer, units, denied)
         return denied
 
-    def _note(
+    def _record(
         self,
         customer: ids.CustomerName,
         units: float,
         denied: quotas.Denied | None,
     ) -> None:
-        """Count a decision under its customer, or with those beyond many."""
-        if len(self._labels) < _MOST_LABELS:
+        """Record a decision under its customer's label, or a shared one."""
+        if len(self._labels) < _MAX_CUSTOMER_LABELS:
             self._labels.add(customer)
-        label = {'customer': customer if customer in self._labels else _REST}
+        label = {
+            'customer': customer if customer in self._labels else _OTHERS_LABEL
+        }
         if denied is None:
             instruments.customer_units.add(units, label)
             return
@@ -139,56 +144,58 @@
             'Over quota.',
             customer=customer,
             why=denied.why,
-            config=self._version,
+            config=self._config_version,
         )
 
     def refund_generation(
         self, customer: ids.CustomerName, units: float
     ) -> None:
-        """Take back, as the owner, what a generation was granted."""
+        """Refund, as the owner, the units charged for a generation."""
         self._quotas.give_back(customer, units, clock.now())
 
-    # What gateways tell each other.
+    # Usage and levels exchanged between gateways.
 
-    def set_owned_share(self, part: float) -> None:
-        """Note for which part of all gateways this one decides."""
-        self._quotas.decide_for(part)
+    def set_owned_share(self, share: float) -> None:
+        """Set the share of all gateways that this one decides for."""
+        self._quotas.decide_for(share)
 
     def take_unreported(self) -> tuple[messages.Used, ...]:
-        """Return what was used here since the last call, for a beat."""
-        untold = self._quotas.take_untold()
-        return tuple(messages.Used(*item) for item in untold.items())
+        """Return the usage since the last call, for the next heartbeat."""
+        unreported = self._quotas.take_untold()
+        return tuple(messages.Used(*usage) for usage in unreported.items())
 
     def add_reported(self, used: tuple[messages.Used, ...]) -> None:
-        """Count what another gateway tells with its beat."""
-        units = {one.customer: one.units for one in used}
+        """Add the usage that another gateway reported."""
+        units = {entry.customer: entry.units for entry in used}
         self._quotas.used_elsewhere(units, clock.now())
 
     def remaining(
         self, used: tuple[messages.Used, ...]
     ) -> tuple[messages.Level, ...]:
-        """Return what is left to the customers of another gateway's calls."""
-        names = [one.customer for one in used]
+        """Return the remaining units of the customers in a usage report."""
+        names = [entry.customer for entry in used]
         levels = self._quotas.levels(names, clock.now())
-        return tuple(messages.Level(*item) for item in levels.items())
+        return tuple(messages.Level(*level) for level in levels.items())
 
     def nearly_exhausted(self) -> tuple[messages.Level, ...]:
-        """Return the customers that are short, for the answer to a beat."""
+        """Return the customers with little quota left, for replies."""
         now = clock.now()
-        if now - self._looked_at > _LOOK_EVERY:
-            self._looked_at = now
+        if now - self._refreshed_at > _REFRESH_INTERVAL_S:
+            self._refreshed_at = now
             levels = self._quotas.low(now)
-            self._low = tuple(messages.Level(*it) for it in levels.items())
-        return self._low
+            self._nearly_exhausted = tuple(
+                messages.Level(*level) for level in levels.items()
+            )
+        return self._nearly_exhausted
 
-    def apply_remaining(self, low: tuple[messages.Level, ...]) -> None:
-        """Take what an owner tells."""
-        levels = {one.customer: one.units for one in low}
+    def apply_remaining(self, reported: tuple[messages.Level, ...]) -> None:
+        """Apply the remaining units that an owner reported."""
+        levels = {level.customer: level.units for level in reported}
         self._quotas.hear(levels, clock.now())
 
 
 def quota_failure(why: str, retry_after: float | None) -> errors.Failure:
-    """Return what a caller is told whose customer has used its quota."""
+    """Return the failure for a caller whose customer is over quota."""
     if retry_after is None:
         return errors.Failure(errors.ABOVE_QUOTA, why)
     return errors.Failure(errors.OVER_QUOTA, why, retry_after)
--- a/galenahatch/gateway/calls.py
+++ b/galenahatch/gateway/calls.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""A caller's request and an upstream's answer, decoded from the wire."""
+"""Callers' requests and heads of upstreams' responses, as decoded values."""
 
 import dataclasses
 import functools
@@ -23,22 +23,22 @@
 from galenahatch import errors
 from galenahatch import ids
 
-_DIGEST_DIGITS: typing.Final = 16
-"""Hexadecimal digits of a digest. Two of a million requests have the same one
-with a chance of one in thirty million."""
+_DIGEST_HEX_DIGITS: typing.Final = 16
+"""Among a million requests, the probability that any two have the same digest
+is one in thirty million."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """What a request for a model says of its size.
+    """Token counts of a request to a model, as stated by the caller.
 
     Attributes:
-        tokens: of the prompt.
-        most_output: bound on the tokens of the answer.
-        likely_output: the caller's estimate, right in the middle and often
-            far off; None if it gave none.
-        subject: id of the last part of the prompt, which only this request
-            or its session has.
+        tokens: Number of prompt tokens.
+        max_output: Limit on the number of output tokens.
+        estimated_output: The caller's estimate of the output tokens, accurate
+            in the median but often far off; None if not given.
+        last_block_id: Id of the last part of the prompt, which is unique to
+            this request or its session.
     """
 
     tokens: int
@@ -52,15 +52,17 @@
     """A caller's request.
 
     Attributes:
-        target: path and query, to the byte as they came.
-        headers: that go on to the upstream.
-        patience: seconds that the caller waits, counted from `arrived_at`;
-            None if it did not say.
-        last_event: id after which a stream goes on, or empty.
-        tokens: of its prompt and at most of its answer; None if not said.
-        credentials: as sent, one for each header of them.
-        is_identified: whether credentials were looked at, and go nowhere.
-        customer: whom the caller belongs to; None if it needs no key.
+        target: Path and query, byte for byte as received.
+        headers: Headers that are forwarded to the upstream.
+        caller_timeout: Seconds that the caller waits, from `arrived_at`; None
+            if it did not state them.
+        last_event_id: Id of the event after which a stream resumes, or empty.
+        tokens: Prompt tokens plus the limit on output tokens; None if not
+            stated.
+        credentials: Values of all credential headers, as received.
+        credentials_checked: Whether the credentials were checked and are
+            therefore not forwarded.
+        customer: Customer of the caller; None if the caller needs no key.
     """
 
     id: str
@@ -80,9 +82,9 @@
 
     @property
     def caller_id(self) -> str:
-        """What tells whose request it is.
+        """Identity of the caller: its customer, else its credentials.
 
-        Two keys of one customer stand for the same caller.
+        Two keys of one customer identify the same caller.
         """
         if self.customer is not None:
             return self.customer.name
@@ -92,49 +94,50 @@
 
     @property
     def customer_name(self) -> ids.CustomerName:
-        """Name of the customer, or empty."""
+        """Name of the customer, or an empty string."""
         if self.customer is None:
             return ids.CustomerName('')
         return self.customer.name
 
     @property
     def priority(self) -> int | None:
-        """What its customer goes by; None where the route's counts."""
+        """Priority of the customer; None if the route's priority applies."""
         return self.customer.priority if self.customer is not None else None
 
     @property
     def quota_units(self) -> float:
-        """What it counts as in the quota of its customer."""
+        """Cost of the request in units of its customer's quota."""
         if self.customer is None or self.customer.quota is None:
             return 0.0
         return self.customer.cost(self.tokens)
 
     @functools.cached_property
     def digest(self) -> ids.RequestDigest:
-        """What tells this request from others when it comes again.
+        """Hash that identifies the request when a caller repeats it.
 
-        Its id is new each time. The parts are joined by a byte that none but
-        the body can hold.
+        The request id differs each time, so it is not included. The parts are
+        joined by a byte that can occur only in the body.
         """
         parts = (self.caller_id, self.method, self.host, self.target, '')
         digest = hashlib.sha256(
             '\0'.join(parts).encode(errors='surrogateescape')
         )
         digest.update(self.body)
-        return ids.RequestDigest(digest.hexdigest()[:_DIGEST_DIGITS])
+        return ids.RequestDigest(digest.hexdigest()[:_DIGEST_HEX_DIGITS])
 
 
 @dataclasses.dataclass(frozen=True)
 class ForwardingOptions:
-    """What this system tells the upstream beside the caller's request.
+    """Options that are sent to the upstream along with a caller's request.
 
     Attributes:
-        upstream: the only one that may run it.
-        patience: seconds that are left for it.
-        prefill_only: read the prompt and keep the result.
-        kv_source: address and handle of a prefill's result, or empty.
-        last_event: id after which the stream goes on, or empty.
-        priority: rank at the engine, 0 to 9; 0 goes first.
+        upstream: The only upstream that may execute the request.
+        time_left: Seconds until the deadline.
+        prefill_only: Whether to process only the prompt and keep the result.
+        kv_source: Address and handle of a prefill result, or empty.
+        last_event_id: Id of the event after which the stream resumes, or
+            empty.
+        priority: Scheduling priority at the engine, 0 (highest) to 9.
     """
 
     upstream: ids.UpstreamId
@@ -147,23 +150,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class ResponseHead:
-    """Status and headers of an upstream's answer.
+    """Status and headers of an upstream's response.
 
     Attributes:
-        headers: that go on to the caller.
-        request: id of the request that it answers, or empty.
-        signed: whether it bears the upstream's signature.
-        not_executed: whether it says that the request did not run.
-        load: requests running and waiting at the upstream; None if it does
-            not tell.
-        encoded: whether the body went through a content coding.
-        rate_limit: requests a second that the upstream takes from all VMs
-            together; None if it names no limit, a failure if what it names
-            is none.
-        leaving: whether the upstream says that it leaves; a failure if it
-            says something else.
-        pause: seconds for which the upstream, which turned the request away,
-            wants nothing more from this VM; None or a failure as above.
+        headers: Headers that are forwarded to the caller.
+        request_id: Id of the request that is answered, or empty.
+        is_signed: Whether the response bears the upstream's signature.
+        not_executed: Whether the upstream states that it did not execute the
+            request.
+        load: Requests running and queued at the upstream; None if not stated.
+        is_encoded: Whether a content coding was applied to the body.
+        rate_limit: Requests per second that the upstream accepts from all VMs
+            together; None if it states no limit, a failure if the value is
+            invalid.
+        leaving: Whether the upstream announces that it is shutting down; a
+            failure if the value is invalid.
+        pause: Seconds for which the upstream, having rejected the request,
+            wants no more requests from this VM; None if not stated, a failure
+            if the value is invalid.
     """
 
     status: int
