--- a/bench/account.py
+++ b/bench/account.py
@@ -92,7 +92,7 @@
             late = 'no_time_left' in str(line.fields.get('why', ''))
             kind = 'refused again' if again else 'refused'
             counts[f'{kind}, after waiting' if late else kind] += 1
-        elif line.message == 'Stream broken off.':
+        elif line.message == 'Stream aborted.':
             counts[f'broken off: {line.fields.get("detail", "")}'] += 1
     return [f'{count:6d}  {name}' for name, count in counts.most_common()]
 
--- a/galenahatch/gateway/frontend.py
+++ b/galenahatch/gateway/frontend.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The callers' side: HTTP in, one answer out.
+"""HTTP frontend: receives callers' requests and sends their responses.
 
-Reads a request whole, finds its route, runs its course and writes what came
-of it. A caller that leaves cancels the course, which closes what it holds
-at upstreams. While the process stops, answers ask callers to close their
-connections; none is closed under a request that was read.
+Reads a complete request, finds its route, runs its handler and writes the
+result. If the caller disconnects, the handler is cancelled, which closes its
+connections to upstreams. While the process drains, responses ask callers to
+close their connections; none is closed while a request on it is in progress.
 """
 
 import asyncio
@@ -40,22 +40,22 @@
 from galenahatch.platform import wire
 from galenahatch import timeouts
 
-_BODY_TIMEOUT: typing.Final = 10.0
-"""Seconds for a body; callers wait longer only if they have given up."""
-_RETRY_AFTER: typing.Final = 0.5
-_ELSEWHERE: typing.Final = 0.05
-"""Seconds after which a caller may try another gateway."""
-_LIVES: typing.Final = 50
-_LONG_LIFE: typing.Final = 0.9
-"""Streams whose durations are kept, and the share of them that must end
-before this process does for another one to begin."""
-_CUSTOMERS_OWN: typing.Final = (errors.OVER_QUOTA, errors.ABOVE_QUOTA)
-"""Refusals for what a customer asks and not for what the system lacks."""
+_BODY_TIMEOUT_S: typing.Final = 10.0
+"""A caller that takes longer to send a body has given up."""
+_RETRY_AFTER_S: typing.Final = 0.5
+_DRAINING_RETRY_AFTER_S: typing.Final = 0.05
+"""Retry delay of a caller that is sent to another gateway."""
+_DURATION_SAMPLES: typing.Final = 50
+_DURATION_QUANTILE: typing.Final = 0.9
+"""While draining, a new stream is accepted only if this share of the last
+`_DURATION_SAMPLES` streams would have ended before the process exits."""
+_QUOTA_REASONS: typing.Final = (errors.OVER_QUOTA, errors.ABOVE_QUOTA)
+"""Refusals caused by a customer's quota and not by a lack of capacity."""
 _log = logs.Log('front')
 
 
 class _StreamSink:
-    """A streamed answer on a caller's connection."""
+    """Writes a streamed response to a caller's connection."""
 
     def __init__(
         self, request: web.BaseRequest, front: 'HttpFrontend'
@@ -66,113 +66,119 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has had the head of the answer."""
+        """Whether the response head has been sent."""
         return self._response is not None
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """The answer, once it has begun."""
+        """The response, or None if its head has not been sent."""
         return self._response
 
     async def begin(self, head: calls.ResponseHead) -> None:
-        """Send the head."""
+        """Send the response head."""
         response = web.StreamResponse(status=head.status, headers=head.headers)
-        self._front.mark(response)
+        self._front.close_if_draining(response)
         self._response = response
         await response.prepare(self._request)
 
     async def write(self, data: bytes) -> None:
-        """Send whole events."""
+        """Send complete events."""
         assert self._response is not None
         await self._response.write(data)
 
 
 class HttpFrontend:
-    """Answers callers.
+    """Serves callers.
 
     Args:
-        means: what courses work with.
+        means: Components that the request handlers share.
     """
 
     def __init__(self, means: means_module.Means) -> None:
         self._means = means
         self._in_flight = 0
-        self._lives: collections.deque[float] = collections.deque(
-            maxlen=_LIVES
+        self._stream_durations: collections.deque[float] = collections.deque(
+            maxlen=_DURATION_SAMPLES
         )
         self._reject_streams_at = 0.0
-        self._ends_at = 0.0
+        self._exits_at = 0.0
         self.is_draining = False
 
     @property
     def in_flight(self) -> int:
-        """Requests that are being answered."""
+        """Number of requests in progress."""
         return self._in_flight
 
-    def drain(self, quiet_at: float, ends_at: float) -> None:
-        """Stop to be ready.
+    def drain(self, reject_streams_at: float, exits_at: float) -> None:
+        """Report not ready and start to turn callers away.
 
         Args:
-            quiet_at: from when on no stream is begun.
-            ends_at: when the process ends.
+            reject_streams_at: Time from which new streams are rejected.
+            exits_at: Time at which the process exits.
         """
         self.is_draining = True
-        self._reject_streams_at = quiet_at
-        self._ends_at = ends_at
+        self._reject_streams_at = reject_streams_at
+        self._exits_at = exits_at
 
-    def _ends_first(self) -> bool:
-        """Return whether a stream that begins now might be cut.
+    def _may_cut_stream(self) -> bool:
+        """Return whether a new stream might be cut off by the process exit.
 
-        Callers have had the time to go elsewhere when no more are begun: a
-        process that started lately has not seen how long streams last.
+        After `reject_streams_at` all are rejected, as a process that started
+        recently doesn't know how long streams last; by then callers have had
+        time to switch to another gateway.
         """
         if not self.is_draining:
             return False
         if clock.now() > self._reject_streams_at:
             return True
-        lives = sorted(self._lives)
-        usual = lives[int(_LONG_LIFE * len(lives))] if lives else 0.0
-        return clock.now() + usual > self._ends_at
+        durations = sorted(self._stream_durations)
+        typical_duration = (
+            durations[int(_DURATION_QUANTILE * len(durations))]
+            if durations
+            else 0.0
+        )
+        return clock.now() + typical_duration > self._exits_at
 
-    def _cuts(self, call: calls.Call, route: routes.Route) -> bool:
-        """Return whether a plain call might not end before this process.
+    def _may_cut_call(self, call: calls.Call, route: routes.Route) -> bool:
+        """Return whether a plain call might be cut off by the process exit.
 
-        Callers have had the time to go elsewhere then, too.
+        Calls are rejected only after callers have had time to switch to
+        another gateway.
         """
         if not self.is_draining or clock.now() < self._reject_streams_at:
             return False
-        return means_module.end_by(call, route) > self._ends_at
+        return means_module.end_by(call, route) > self._exits_at
 
     def limits(self) -> routes.Limits:
-        """Return the limits in force."""
+        """Return the configured limits, or the defaults."""
         config = self._means.directory.config
         return config.limits if config is not None else routes.Limits()
 
-    def mark(self, response: web.StreamResponse) -> None:
-        """Ask the caller to close its connection if this process stops."""
+    def close_if_draining(self, response: web.StreamResponse) -> None:
+        """Ask the caller to close its connection if the process drains."""
         if self.is_draining:
             response.force_close()
 
     async def ready(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Tell the balancer whether to send callers here."""
-        good = self._means.directory.ready and not self.is_draining
-        return web.Response(status=200 if good else 503)
+        """Answer the load balancer's readiness probe."""
+        is_ready = self._means.directory.ready and not self.is_draining
+        return web.Response(status=200 if is_ready else 503)
 
     async def metrics(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Show all counters and histograms."""
+        """Return all metrics."""
         return web.Response(
             body=instruments.text().encode(),
             headers={'Content-Type': instruments.CONTENT_TYPE},
         )
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request of a caller."""
         arrived_at = clock.now()
         self._in_flight += 1
         try:
-            body = await self._body(request)
+            body = await self._read_body(request)
             if isinstance(body, errors.Failure):
-                return self._own(body, '')
+                return self._error_response(body, '')
             call = wire.call(
                 request.method,
                 request.raw_path,
@@ -180,44 +186,48 @@
                 body,
                 arrived_at,
             )
-            return await self._answer(request, call)
+            return await self._route_request(request, call)
         finally:
             self._in_flight -= 1
 
-    async def _body(self, request: web.BaseRequest) -> bytes | errors.Failure:
-        most = self.limits().body_bytes
+    async def _read_body(
+        self, request: web.BaseRequest
+    ) -> bytes | errors.Failure:
+        max_bytes = self.limits().body_bytes
         data = bytearray()
         try:
-            async with timeouts.limit(_BODY_TIMEOUT):
+            async with timeouts.limit(_BODY_TIMEOUT_S):
                 async for chunk in request.content.iter_any():
                     data += chunk
-                    if len(data) > most:
-                        detail = f'over {most} bytes'
+                    if len(data) > max_bytes:
+                        detail = f'over {max_bytes} bytes'
                         return errors.Failure(errors.BODY_TOO_LARGE, detail)
         except asyncio.TimeoutError:
             return errors.Failure(errors.BODY_TIMEOUT)
         return bytes(data)
 
-    async def _answer(
+    async def _route_request(
         self, request: web.BaseRequest, call: calls.Call
     ) -> web.StreamResponse:
         if not self._means.directory.ready:
             failure = means_module.refusal(
-                errors.NO_CONFIGURATION, '', _RETRY_AFTER
+                errors.NO_CONFIGURATION, '', _RETRY_AFTER_S
             )
-            return self._own(failure, call.id)
+            return self._error_response(failure, call.id)
         route = self._means.directory.table.find(call.host, call.target)
         if route is None:
-            return self._own(errors.Failure(errors.NO_ROUTE), call.id)
-        known = self._identify(call, route)
-        if isinstance(known, errors.Failure):
-            return self._respond(call, route, known)
-        return await self._admitted(request, known, route)
+            return self._error_response(
+                errors.Failure(errors.NO_ROUTE), call.id
+            )
+        identified = self._identify(call, route)
+        if isinstance(identified, errors.Failure):
+            return self._respond(call, route, identified)
+        return await self._dispatch(request, identified, route)
 
     def _identify(
         self, call: calls.Call, route: routes.Route
     ) -> calls.Call | errors.Failure:
-        """Return the request of a caller that may call."""
+        """Authenticate the caller; return the request with its customer."""
         config = self._means.directory.config
         if config is None or config.customers is None:
             return call
@@ -228,7 +238,7 @@
             return customer
         return wire.identified(call, customer)
 
-    async def _admitted(
+    async def _dispatch(
         self, request: web.BaseRequest, call: calls.Call, route: routes.Route
     ) -> web.StreamResponse:
         if self._means.guard.holds(call):
@@ -245,15 +255,19 @@
             and call.prompt is not None
         ):
             return await self._generate(request, call, route, service)
-        if self._cuts(call, route):
-            failure = means_module.refusal(errors.LEAVING, '', _ELSEWHERE)
+        if self._may_cut_call(call, route):
+            failure = means_module.refusal(
+                errors.LEAVING, '', _DRAINING_RETRY_AFTER_S
+            )
             return self._respond(call, route, failure)
-        return self._respond(call, route, await self._call(call, route, name))
+        return self._respond(
+            call, route, await self._run_plain_call(call, route, name)
+        )
 
-    async def _call(
+    async def _run_plain_call(
         self, call: calls.Call, route: routes.Route, service: ids.ServiceName
     ) -> means_module.Whole | errors.Failure:
-        """Run a plain call within its customer's quota."""
+        """Run a plain call if its customer's quota allows it."""
         denied = self._means.accounts.charge(call)
         if denied is not None:
             return denied
@@ -274,37 +288,39 @@
         route: routes.Route,
         service: routes.Service,
     ) -> web.StreamResponse:
-        if self._ends_first():
-            failure = means_module.refusal(errors.LEAVING, '', _ELSEWHERE)
+        if self._may_cut_stream():
+            failure = means_module.refusal(
+                errors.LEAVING, '', _DRAINING_RETRY_AFTER_S
+            )
             return self._respond(call, route, failure)
         sink = _StreamSink(request, self)
-        course = generation.RequestHandler(
+        handler = generation.RequestHandler(
             self._means, call, route, service, sink
         )
         try:
-            result = await course.run()
-        except generation.StreamBroken as broken:
-            return self._break(request, call, sink, str(broken))
+            result = await handler.run()
+        except generation.StreamBroken as error:
+            return self._abort_stream(request, call, sink, str(error))
         if result is not None:
             return self._respond(call, route, result)
         if sink.response is None:
             failure = errors.Failure(errors.BAD_UPSTREAM, 'empty stream')
-            return self._own(failure, call.id)
+            return self._error_response(failure, call.id)
         await sink.response.write_eof()
         instruments.answers.add(1, {'reason': 'streamed'})
-        self._lives.append(clock.now() - call.arrived_at)
+        self._stream_durations.append(clock.now() - call.arrived_at)
         return sink.response
 
-    def _break(
+    def _abort_stream(
         self,
         request: web.BaseRequest,
         call: calls.Call,
         sink: _StreamSink,
         detail: str,
     ) -> web.StreamResponse:
-        """End a stream so that it can't be taken for a whole one."""
+        """Abort the connection, so that the stream can't appear complete."""
         instruments.answers.add(1, {'reason': 'stream_broken'})
-        _log.warning('Stream broken off.', request=call.id, detail=detail)
+        _log.warning('Stream aborted.', request=call.id, detail=detail)
         transport = request.transport
         if transport is not None:
             transport.abort()
@@ -329,7 +345,7 @@
                 retry_after=result.retry_after or 0.0,
                 seconds=clock.now() - call.arrived_at,
             )
-            return self._own(result, call.id)
+            return self._error_response(result, call.id)
         instruments.answers.add(1, {'reason': 'answered'})
         instruments.answer_seconds.record(clock.now() - call.arrived_at)
         response = web.Response(
@@ -337,17 +353,17 @@
             headers=result.head.headers,
             body=result.body,
         )
-        self.mark(response)
+        self.close_if_draining(response)
         return response
 
-    def _own(
-        self, failure: errors.Failure, request: str
+    def _error_response(
+        self, failure: errors.Failure, request_id: str
     ) -> web.StreamResponse:
-        """Return an answer that the system makes itself."""
+        """Return a response for a failure detected by the gateway itself."""
         status = failure.reason.status
-        if status == 429 and failure.reason not in _CUSTOMERS_OWN:
+        if status == 429 and failure.reason not in _QUOTA_REASONS:
             status = 503
-        headers = wire.own_answer(request, status)
+        headers = wire.own_answer(request_id, status)
         if failure.retry_after is not None:
             headers['Retry-After'] = f'{failure.retry_after:.3f}'
         body = {
@@ -364,5 +380,5 @@
             body=msgspec.json.encode(body),
             content_type='application/json',
         )
-        self.mark(response)
+        self.close_if_draining(response)
         return response
--- a/galenahatch/test/test_pauses.py
+++ b/galenahatch/test/test_pauses.py
@@ -170,7 +170,7 @@
 def test_answer_that_was_ready_at_the_deadline(path: str) -> None:
     """An answer that came in a pause is passed on, though the time is over.
 
-    Seen beside stalls: `Stalled.`, and 2 ms later `Stream broken off.` with
+    Seen beside stalls: `Stalled.`, and 2 ms later `Stream aborted.` with
     `deadline`, where the engine had sent all its events a second before.
     """
     members = (('desk', ''), ('model', 'decode'))
