--- a/galenahatch/gateway/inflight.py
+++ b/galenahatch/gateway/inflight.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Sends that are under way, by the upstream that they went to.
+"""Waits for responses of upstreams, which end when the upstream restarts.
 
-A start of an upstream that is known to be over answers nothing more. Where
-it was cut off as it ended, no reset tells so, and a send to it would wait for
-its timeout: four pauses of a stream, the whole deadline of a request that may
-run only once. So each wait for an upstream is limited here, and ends shortly
-after a later start of the same upstream was heard of.
+An incarnation of an upstream that has ended sends no more responses. If it
+was disconnected from the network when it ended, no reset arrives, and a send
+would wait for its timeout: four pauses of a stream, or the whole deadline of a
+request that may be executed only once. Therefore all waits are registered
+here and end shortly after a later incarnation of the upstream is reported.
 """
 
 import asyncio
@@ -29,71 +29,74 @@
 from galenahatch import ids
 from galenahatch import timeouts
 
-_STILL_COMES: typing.Final = 0.1
-"""Seconds for which bytes that the start before had sent are still taken: a
-way of some ms, and a buffer that is full."""
-_REMEMBERED: typing.Final = 60.0
-"""Seconds for which a start is remembered as over; no send lasts longer."""
+_GRACE_S: typing.Final = 0.1
+"""Time in which bytes sent by an ended incarnation are still accepted: a few
+ms of network delay and a full buffer."""
+_ENDED_MEMORY_S: typing.Final = 60.0
+"""Time for which an incarnation is remembered as ended; no send takes
+longer."""
 
 
 class Waits:
-    """The waits of one process for all upstreams."""
+    """Waits of one process for responses of all upstreams."""
 
     def __init__(self) -> None:
-        self._open: dict[ids.UpstreamId, set[asyncio.Timeout]] = {}
-        self._over: dict[ids.UpstreamId, float] = {}
+        self._active: dict[ids.UpstreamId, set[asyncio.Timeout]] = {}
+        self._ended_at: dict[ids.UpstreamId, float] = {}
 
     @contextlib.asynccontextmanager
     async def limit(
         self, upstream: ids.UpstreamId, seconds: float | None
     ) -> collections.abc.AsyncIterator[None]:
-        """Limit the time that is spent within.
+        """Limit the time spent in the context.
 
         Args:
-            upstream: that is waited for.
-            seconds: at the most; None if only the upstream's end counts.
+            upstream: Upstream whose response is awaited.
+            seconds: Timeout; None to wait until the upstream has ended.
 
         Raises:
-            asyncio.TimeoutError: the time is over, or the upstream.
+            asyncio.TimeoutError: The time is up or the upstream has ended.
         """
-        if upstream in self._over:
-            seconds = min(seconds or _STILL_COMES, _STILL_COMES)
+        if upstream in self._ended_at:
+            seconds = min(seconds or _GRACE_S, _GRACE_S)
         async with asyncio.timeout(None) as scope:
-            alarm = timeouts.Alarm(scope, seconds)
-            scopes = self._open.setdefault(upstream, set())
+            timer = timeouts.Alarm(scope, seconds)
+            scopes = self._active.setdefault(upstream, set())
             scopes.add(scope)
             try:
                 yield
             finally:
-                alarm.cancel()
+                timer.cancel()
                 scopes.discard(scope)
-                if not scopes and self._open.get(upstream) is scopes:
-                    del self._open[upstream]
+                if not scopes and self._active.get(upstream) is scopes:
+                    del self._active[upstream]
 
     def end_older_waits(self, upstream: ids.UpstreamId) -> int:
-        """Take a start; end the waits for those before it.
+        """End the waits for earlier incarnations of an upstream.
 
         Returns:
-            How many waits end.
+            Number of waits that end.
         """
-        over = [
+        ended = [
             key
-            for key in self._open
+            for key in self._active
             if incarnations.born(key) != incarnations.UNKNOWN
             and incarnations.is_later(upstream, key)
         ]
         now = clock.now()
-        self._over = {
-            key: at for key, at in self._over.items() if now - at < _REMEMBERED
-        } | dict.fromkeys(over, now)
-        scopes = [scope for key in over for scope in self._open[key]]
+        self._ended_at = {
+            key: at
+            for key, at in self._ended_at.items()
+            if now - at < _ENDED_MEMORY_S
+        } | dict.fromkeys(ended, now)
+        scopes = [scope for key in ended for scope in self._active[key]]
         for scope in scopes:
             _end_soon(scope)
         return len(scopes)
 
 
 def _end_soon(scope: asyncio.Timeout) -> None:
-    ends_at = asyncio.get_running_loop().time() + _STILL_COMES
-    planned = scope.when()
-    if not scope.expired() and (planned is None or planned > ends_at):
-        scope.reschedule(ends_at)
+    deadline = asyncio.get_running_loop().time() + _GRACE_S
+    current = scope.when()
+    if not scope.expired() and (current is None or current > deadline):
+        scope.reschedule(deadline)
--- a/galenahatch/gateway/outcomes.py
+++ b/galenahatch/gateway/outcomes.py
@@ -10,11 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What sends to plain upstreams came to, told between gateways.
+"""Exchanges the outcomes of sends to plain upstreams between gateways.
 
-Each gateway tells the owner with its beats what its own sends came to; the
-owner adds all up and answers with the sums (`core/outliers`). Whoever may
-become the owner hears the same beats, so its sums are complete when it does.
+Each gateway reports the outcomes of its own sends to the owner with its
+heartbeats; the owner adds them up and replies with the totals
+(`core/outliers`). Candidates for the next owner receive the same heartbeats,
+so their totals are complete when they take over.
 """
 
 import heapq
@@ -25,47 +26,49 @@
 from galenahatch.gateway import messages
 from galenahatch import ids
 
-_MOST_TOLD: typing.Final = 64
-"""Upstreams in one message, some 25 bytes each; those that failed most come
-first, and few fail at a time."""
+_MAX_REPORTED_UPSTREAMS: typing.Final = 64
+"""Upstreams per message, about 25 bytes each; those with the most failures
+come first, and few fail at a time."""
 
 
 class OutcomeExchange:
-    """This gateway's part of it.
+    """Outcomes known to this gateway.
 
     Args:
-        known: what this gateway knows of failures.
+        outlier_detector: Detector that supplies and receives outcomes.
     """
 
-    def __init__(self, known: outliers.Outliers) -> None:
-        self._known = known
+    def __init__(self, outlier_detector: outliers.Outliers) -> None:
+        self._outliers = outlier_detector
         self._totals = outliers.Tally()
 
     def take_unreported(self) -> tuple[messages.Outcomes, ...]:
-        """Return what came since the last call, for the next beat."""
-        new = self._known.take_new()
-        self._add(new)
-        return _told(new)
+        """Return the outcomes since the last call, for the next heartbeat."""
+        unreported = self._outliers.take_new()
+        self._add(unreported)
+        return _to_message(unreported)
 
-    def add_reported(self, told: tuple[messages.Outcomes, ...]) -> None:
-        """Add what another gateway told."""
-        self._add(_heard(told))
+    def add_reported(self, reported: tuple[messages.Outcomes, ...]) -> None:
+        """Add the outcomes that another gateway reported."""
+        self._add(_from_message(reported))
 
     def totals(self) -> tuple[messages.Outcomes, ...]:
-        """Return the sums over all gateways that tell this one."""
-        return _told(self._totals.all(clock.now()))
+        """Return the totals of all gateways that report to this one."""
+        return _to_message(self._totals.all(clock.now()))
 
     def apply_own_totals(self) -> None:
-        """Use this gateway's own sums: it is the owner."""
+        """Use the totals of this gateway, as the owner."""
         now = clock.now()
-        self._known.hear(self._totals.all(now), now)
+        self._outliers.hear(self._totals.all(now), now)
 
-    def apply_owner_totals(self, told: tuple[messages.Outcomes, ...]) -> None:
-        """Use the sums of the owner."""
-        self._known.hear(_heard(told), clock.now())
+    def apply_owner_totals(
+        self, reported: tuple[messages.Outcomes, ...]
+    ) -> None:
+        """Use the totals reported by the owner."""
+        self._outliers.hear(_from_message(reported), clock.now())
 
     def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
-        """Drop upstreams that are gone."""
+        """Drop upstreams that are not known any more."""
         self._totals.forget(known)
 
     def _add(self, counts: outliers.Counts) -> None:
@@ -74,9 +77,11 @@
             self._totals.add(upstream, count, now)
 
 
-def _told(counts: outliers.Counts) -> tuple[messages.Outcomes, ...]:
+def _to_message(counts: outliers.Counts) -> tuple[messages.Outcomes, ...]:
     worst = heapq.nlargest(
-        _MOST_TOLD, counts.items(), key=lambda item: item[1].failures
+        _MAX_REPORTED_UPSTREAMS,
+        counts.items(),
+        key=lambda item: item[1].failures,
     )
     return tuple(
         messages.Outcomes(upstream, count.sends, count.failures)
@@ -84,7 +89,8 @@
     )
 
 
-def _heard(told: tuple[messages.Outcomes, ...]) -> outliers.Counts:
+def _from_message(reported: tuple[messages.Outcomes, ...]) -> outliers.Counts:
     return {
-        one.upstream: outliers.Count(one.sends, one.failures) for one in told
+        entry.upstream: outliers.Count(entry.sends, entry.failures)
+        for entry in reported
     }
--- a/galenahatch/gateway/sender.py
+++ b/galenahatch/gateway/sender.py
@@ -10,16 +10,17 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Sends requests to upstreams, and tells what became of each send.
+"""Sends requests to upstreams and classifies the result of each send.
 
-A send has one of four fates (`core/fate`). Nothing is ever sent twice by
-the client library. Requests that may run only once go over a connection of
-their own: on a kept one, a close by the upstream that crosses the request
-leaves open whether it ran.
+A send has one of four fates (`core/fate`). The client library never retries
+by itself. Requests that may be executed only once use a new connection each:
+if an upstream closes a pooled connection while a request is on its way, it
+is unknown whether the request was executed.
 
-An answer counts only if it bears the id of the request. An upstream may
-send a second answer, late, where the next one is due: a kept connection on
-which bytes came unasked is closed, and an answer with another id is none.
+A response is accepted only if it carries the id of the request. An upstream
+may send a late second response where the next one is expected, so a pooled
+connection that received unsolicited bytes is closed, and a response with
+another id is rejected.
 """
 
 import asyncio
@@ -45,27 +46,27 @@
 from galenahatch.upstream import http
 
 KEEP_ALIVE_S: typing.Final = 4.0
-"""Seconds for which an idle connection is kept. Upstreams close theirs
-later; an early close costs a handshake, a late one a failed send."""
+"""Idle timeout of pooled connections, shorter than that of upstreams: closing
+early costs a handshake, closing late a failed send."""
 MAX_RESPONSE_BYTES: typing.Final = 16 * 1024 * 1024
-"""Bytes of a plain answer that are held in memory."""
-_UNACKNOWLEDGED_MS: typing.Final = 2000
-"""Milliseconds after which a connection whose peer acknowledges nothing is
-given up; a VM without power never closes its connections."""
-_ENDING: typing.Final = 0.005
-"""Seconds in which a process that ends closes one socket after another."""
-_LOOK: typing.Final = 0.1
-"""Seconds for a connection that only shows whether somebody listens."""
-_MOST_HEADERS: typing.Final = 32768
-_WRONG_INSTANCE: typing.Final = 421
-"""Status of a request that was meant for another upstream, or stage."""
-_SKIPPED: typing.Final = (
+"""Size limit of a response that is buffered in memory."""
+_TCP_USER_TIMEOUT_MS: typing.Final = 2000
+"""Connections are dropped if the peer acknowledges nothing for this long; a VM
+that lost power never closes its connections."""
+_SOCKET_CLOSE_GRACE_S: typing.Final = 0.005
+"""Time in which an exiting process closes its sockets one by one."""
+_PROBE_TIMEOUT_S: typing.Final = 0.1
+"""Timeout of a connection that only checks whether the port is open."""
+_MAX_HEADER_BYTES: typing.Final = 32768
+_MISDIRECTED_STATUS: typing.Final = 421
+"""Status of a request that was addressed to another upstream or stage."""
+_SKIPPED_AUTO_HEADERS: typing.Final = (
     'Accept',
     'Accept-Encoding',
     'User-Agent',
     'Content-Type',
 )
-"""Headers that the client library would add."""
+"""Headers that the client library would add by default."""
 
 Headers = multidict.CIMultiDict[str]
 ResponseHeadListener = typing.Callable[
@@ -75,12 +76,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class FailedSend:
-    """A send without an answer that can be used.
+    """A send without a usable response.
 
     Attributes:
-        fate: what is known of it.
-        head: of the answer, where there was one.
-        is_cut: whether the connection broke, and not our patience.
+        fate: What is known about the execution of the request.
+        head: Head of the response, if one was received.
+        is_disconnect: Whether the connection broke, as opposed to a timeout.
     """
 
     fate: fate.Fate
@@ -90,25 +91,27 @@
 
 
 class _Protocol(client_proto.ResponseHandler):
-    """A connection whose reset never looks like the end of an answer.
+    """Protocol that never mistakes a connection reset for a regular EOF.
 
-    The event loop's library reports the end of the stream, and not the
-    reset, when the last bytes and a reset arrive together. The socket still
-    knows: its pending error is asked for at each end.
+    When the last bytes and a reset arrive together, the event loop reports
+    EOF instead of the reset. The socket still has the pending error, which is
+    checked at each EOF.
     """
 
     def eof_received(self) -> None:
-        """Look whether the end is a reset."""
-        pending = 0
-        connection = self.transport and self.transport.get_extra_info('socket')
-        if connection:
-            pending = connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if pending:
-            self._fail_body(ConnectionResetError(pending, 'reset at the end'))
+        """Fail the body if the EOF is in fact a reset."""
+        pending_error = 0
+        sock = self.transport and self.transport.get_extra_info('socket')
+        if sock:
+            pending_error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if pending_error:
+            self._fail_body(
+                ConnectionResetError(pending_error, 'reset at the end')
+            )
         super().eof_received()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail a body without a length that ends by a reset."""
+        """Fail a body of unknown length that is ended by a reset."""
         if exc is not None:
             self._fail_body(exc)
         super().connection_lost(exc)
@@ -122,10 +125,10 @@
 
 
 class _Connector(http.Connector):
-    """Connections to upstreams; those that carry unasked bytes are closed."""
+    """Connector that closes pooled connections with unsolicited bytes."""
 
-    def __init__(self, keep: bool) -> None:
-        if keep:
+    def __init__(self, pooled: bool) -> None:
+        if pooled:
             super().__init__(
                 limit=0,
                 keepalive_timeout=KEEP_ALIVE_S,
@@ -143,37 +146,37 @@
         key: typing.Any,
         traces: list[typing.Any],
     ) -> connectors.Connection | None:
-        kept = self._conns.get(key)
-        if kept is not None:
-            clean = [pair for pair in kept if not pair[0].should_close]
-            for protocol, _ in kept:
+        pooled = self._conns.get(key)
+        if pooled is not None:
+            reusable = [pair for pair in pooled if not pair[0].should_close]
+            for protocol, _ in pooled:
                 if protocol.should_close:
                     protocol.close()
-            self._conns[key] = collections.deque(clean)
-            if not clean:
+            self._conns[key] = collections.deque(reusable)
+            if not reusable:
                 del self._conns[key]
         return await super()._get(key, traces)
 
 
 def create_socket(address: typing.Any) -> socket.socket:
-    """Return a socket that notices a peer without power."""
+    """Return a TCP socket that detects a peer that has lost power."""
     family, kind, protocol, _, _ = address
-    made = socket.socket(family, kind, protocol)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    made.setsockopt(
-        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS
+    sock = socket.socket(family, kind, protocol)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS
     )
-    return made
+    return sock
 
 
 class Response:
-    """An answer whose head has come.
+    """A response whose head has been received.
 
     Args:
-        response: of the client library.
-        head: decoded.
-        upstream: that answers.
-        waits: of the process.
+        response: Response object of the client library.
+        head: Decoded status and headers.
+        upstream: Upstream that sent the response.
+        waits: Waits of this process, which limit each read.
     """
 
     def __init__(
@@ -189,14 +192,14 @@
         self._waits = waits
 
     async def body(self) -> bytes | None:
-        """Return the whole body; None if it broke off."""
+        """Return the body; None if it is incomplete or too large."""
         try:
             async with self._waits.limit(self._upstream, None):
-                return await self._collected()
+                return await self._read_body()
         except asyncio.TimeoutError:
             return None
 
-    async def _collected(self) -> bytes | None:
+    async def _read_body(self) -> bytes | None:
         data = bytearray()
         try:
             async for chunk in self._response.content.iter_any():
@@ -213,10 +216,10 @@
         return bytes(data)
 
     async def read(self, timeout: float) -> bytes | FailedSend:
-        """Return the next bytes, or none at the end.
+        """Return the next bytes, or empty bytes at the end.
 
         Args:
-            timeout: seconds of silence after which the stream is lost.
+            timeout: Seconds of silence after which the read fails.
         """
         try:
             async with self._waits.limit(self._upstream, timeout):
@@ -228,16 +231,17 @@
             return FailedSend(fate.Fate.UNCERTAIN, detail, is_disconnect=True)
 
     def close(self) -> None:
-        """Close the connection: the upstream stops its work."""
+        """Close the connection, which makes the upstream abort its work."""
         self._response.close()
 
 
 class Sender:
-    """Connections of one process to all upstreams.
+    """Sends requests to all upstreams of one process.
 
     Attributes:
-        on_head: called with the head of each answer to a request that was
-            sent, and when it was sent (monotonic seconds).
+        waits: Waits for upstreams that are in progress.
+        on_response_head: Called with the upstream, the time of the send
+            (monotonic seconds) and the head of each response to that send.
     """
 
     def __init__(self) -> None:
@@ -245,13 +249,13 @@
         self.on_response_head: ResponseHeadListener = (
             lambda upstream, sent_at, head: None
         )
-        self._kept = _session(keep=True)
-        self._fresh = _session(keep=False)
+        self._pooled_session = _create_session(pooled=True)
+        self._unpooled_session = _create_session(pooled=False)
 
     async def close(self) -> None:
         """Close all connections."""
-        await self._kept.close()
-        await self._fresh.close()
+        await self._pooled_session.close()
+        await self._unpooled_session.close()
 
     async def send(
         self,
@@ -276,12 +280,12 @@
         sent_at = clock.now()
         try:
             async with self.waits.limit(upstream.id, timeout):
-                response = await self._session(use_pool).request(
+                response = await self._session_for(use_pool).request(
                     request.method,
                     _url(upstream.address, request.target),
                     data=request.body or None,
                     headers=headers,
-                    skip_auto_headers=_SKIPPED,
+                    skip_auto_headers=_SKIPPED_AUTO_HEADERS,
                     allow_redirects=False,
                     timeout=limit,
                 )
@@ -294,37 +298,37 @@
                 fate.Fate.UNCERTAIN, repr(error), is_disconnect=True
             )
         head = decode(response.status, response.raw_headers)
-        answer = Response(response, head, upstream.id, self.waits)
-        if _is_of(head, request):
+        result = Response(response, head, upstream.id, self.waits)
+        if _is_about_upstream(head, request):
             self.on_response_head(upstream.id, sent_at, head)
-        return await self._checked(request, answer)
+        return await self._check_response(request, result)
 
-    def _session(self, keep: bool) -> aiohttp.ClientSession:
-        return self._kept if keep else self._fresh
+    def _session_for(self, use_pool: bool) -> aiohttp.ClientSession:
+        return self._pooled_session if use_pool else self._unpooled_session
 
-    async def _checked(
-        self, request: calls.Call, answer: Response
+    async def _check_response(
+        self, request: calls.Call, response: Response
     ) -> Response | FailedSend:
-        head = answer.head
+        head = response.head
         if head.request_id and head.request_id != request.id:
-            answer.close()
-            detail = f'answer to {head.request_id}'
+            response.close()
+            detail = f'response to request {head.request_id}'
             return FailedSend(fate.Fate.UNCERTAIN, detail)
         if head.not_executed and head.status >= 400:
-            await answer.body()
+            await response.body()
             detail = f'refused with {head.status}'
             return FailedSend(fate.Fate.REFUSED, detail, head=head)
-        return answer
+        return response
 
     async def refuses_connections(self, upstream: upstreams.Upstream) -> bool:
-        """Return whether nobody listens at the address of an upstream.
+        """Return whether an upstream's address refuses connections.
 
-        Where no answer comes at all, nothing is known of it.
+        A timeout returns False, as it proves nothing.
         """
-        await asyncio.sleep(_ENDING)
+        await asyncio.sleep(_SOCKET_CLOSE_GRACE_S)
         host, _, port = upstream.address.rpartition(':')
         try:
-            async with timeouts.limit(_LOOK):
+            async with timeouts.limit(_PROBE_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, int(port))
         except ConnectionRefusedError:
             return True
@@ -342,20 +346,20 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> tuple[int, bytes] | errors.Failure:
-        """Make a call of our own with a small answer."""
-        if self._kept.closed:
-            # At the end of a stop; what engines hold lapses by itself.
+        """Send a request of the gateway itself; the response must be small."""
+        if self._pooled_session.closed:
+            # The process is exiting; handles at the engines just expire.
             return errors.Failure(errors.UPSTREAM_UNREACHABLE, 'closed')
         url = _url(address, path)
         try:
             async with (
                 timeouts.limit(timeout),
-                self._kept.request(
+                self._pooled_session.request(
                     method,
                     url,
                     data=body,
                     headers=headers,
-                    skip_auto_headers=_SKIPPED,
+                    skip_auto_headers=_SKIPPED_AUTO_HEADERS,
                 ) as response,
             ):
                 return response.status, await response.read()
@@ -363,30 +367,30 @@
             return errors.Failure(errors.UPSTREAM_UNREACHABLE, repr(error))
 
 
-def _is_of(head: calls.ResponseHead, request: calls.Call) -> bool:
-    """Return whether an answer tells of the upstream that was meant.
+def _is_about_upstream(head: calls.ResponseHead, request: calls.Call) -> bool:
+    """Return whether a head describes the current state of the upstream.
 
-    A late answer to another request tells of an earlier time, and one that
-    refuses the wrong instance is of another upstream.
+    A late response to another request describes an earlier state, and a
+    misdirected request was answered by another upstream.
     """
-    is_late = bool(head.request_id) and head.request_id != request.id
-    return not is_late and head.status != _WRONG_INSTANCE
+    is_other_request = bool(head.request_id) and head.request_id != request.id
+    return not is_other_request and head.status != _MISDIRECTED_STATUS
 
 
-def _session(keep: bool) -> aiohttp.ClientSession:
+def _create_session(pooled: bool) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
-        connector=_Connector(keep),
+        connector=_Connector(pooled),
         timeout=http.NO_LIMIT,
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         middlewares=(http.send_once,),
-        max_line_size=_MOST_HEADERS,
-        max_field_size=_MOST_HEADERS,
+        max_line_size=_MAX_HEADER_BYTES,
+        max_field_size=_MAX_HEADER_BYTES,
     )
 
 
 def _url(address: str, target: str) -> yarl.URL:
-    """Return a URL whose path and query are sent to the byte."""
+    """Return a URL whose path and query are sent byte for byte."""
     host, _, port = address.rpartition(':')
     return yarl.URL.build(
         scheme='http',
