--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Being the owner: decides for all gateways that ask.
+"""The owner: places the generations of all gateways that ask it.
 
-Holds one dispatcher for each model service, takes what gateways tell of
-their runs, and answers each request for engines with a place, a refusal, or
-the word that it waits.
+Holds one dispatcher per model service, processes the progress that gateways
+report, and replies to each placement request with a placement, a refusal or
+a notice that the request is queued.
 """
 
 import asyncio
@@ -39,12 +39,12 @@
 from galenahatch import logs
 from galenahatch import tasks
 
-_BREATH: typing.Final = 0.003
-"""Seconds between two rounds of decisions; what comes meanwhile is decided
-in one round."""
-_NO_BUDGET_PAUSE: typing.Final = 0.3
-"""Seconds after which one that has not run may come back, as a new request,
-if there was no budget for a further attempt."""
+_ROUND_INTERVAL_S: typing.Final = 0.003
+"""Interval between scheduling rounds; requests that arrive in between are
+decided together in one round."""
+_REFUSAL_RETRY_AFTER_S: typing.Final = 0.3
+"""Retry delay of a request that was not executed and was refused because no
+retry budget is left; it comes back as a new request."""
 _log = logs.Log('owner')
 
 OwnerReply = (
@@ -55,14 +55,14 @@
 
 
 class Owner:
-    """What a gateway decides, if others ask it.
+    """Places generations for this gateway and all others that ask it.
 
     Args:
-        directory: upstreams and services.
-        budget: of retries, over all gateways that ask.
-        accounts: of customers, over all gateways that ask.
-        limiter: of upstreams, over all gateways that ask.
-        deliver: sends an answer to a member.
+        directory: Source of upstreams and services.
+        budget: Retry budget of all gateways that ask.
+        accounts: Quota accounts of customers, for all gateways that ask.
+        limiter: Rate limiter of upstreams, for all gateways that ask.
+        deliver: Sends a reply to a member.
     """
 
     def __init__(
@@ -79,36 +79,36 @@
         self._limiter = limiter
         self._deliver = deliver
         self._dispatchers: dict[ids.ServiceName, dispatch.Dispatcher] = {}
-        self._replies: dict[ids.StreamId, ReplyFunction] = {}
-        self._due = asyncio.Event()
+        self._reply_functions: dict[ids.StreamId, ReplyFunction] = {}
+        self._wake = asyncio.Event()
         directory.on_change(self.refresh_engines)
 
     def start(self, background: tasks.Tasks) -> None:
-        """Start to decide."""
+        """Start the scheduling task."""
         background.keep('decide', self._decide_forever)
 
     @property
     def dispatchers(
         self,
     ) -> typing.Mapping[ids.ServiceName, dispatch.Dispatcher]:
-        """What is known of each service."""
+        """The dispatcher of each service."""
         return self._dispatchers
 
     @property
-    def waiting(self) -> int:
-        """Requests that wait for engines."""
+    def waiting_count(self) -> int:
+        """Number of requests that wait for engines."""
         return sum(d.waiting for d in self._dispatchers.values())
 
     def handle_message(
         self, member: ids.MemberId, message: frames.AnyMessage
     ) -> None:
-        """Take a message of a gateway, this one included."""
+        """Handle a message from a gateway, which may be this one."""
         now = clock.now()
         if isinstance(message, messages.Place):
-            self._take_place(member, message, now)
+            self._handle_place(member, message, now)
         elif isinstance(message, messages.Beat):
             self._budget.heard(member, now)
-            self._take_held(message, now)
+            self._handle_running(message, now)
         elif isinstance(message, messages.Withdraw):
             self._withdraw(message.stream, now)
         elif isinstance(message, messages.GivenBack):
@@ -117,53 +117,55 @@
             message,
             messages.Prefilled | messages.Started | messages.Release,
         ):
-            self._take_progress(message, now)
-        self._due.set()
+            self._handle_progress(message, now)
+        self._wake.set()
 
     def _withdraw(self, stream: ids.StreamId, now: float) -> None:
-        self._replies.pop(stream, None)
+        self._reply_functions.pop(stream, None)
         for dispatcher in self._dispatchers.values():
-            job = dispatcher.withdraw(stream)
-            if job is not None:
-                self._accounts.refund_generation(job.customer, job.units)
+            withdrawn = dispatcher.withdraw(stream)
+            if withdrawn is not None:
+                self._accounts.refund_generation(
+                    withdrawn.customer, withdrawn.units
+                )
             dispatcher.release(stream, 0, 0.0, now)
 
     def figures(self) -> tuple[records.Figures, ...]:
-        """Return what was measured of each service."""
+        """Return the measured figures of each service."""
         return tuple(
             records.Figures(service, *dispatcher.measured)
             for service, dispatcher in self._dispatchers.items()
         )
 
-    def adopt_figures(self, back: messages.BeatBack) -> None:
-        """Take what another owner has measured."""
-        for told in back.figures:
-            dispatcher = self._dispatcher(told.service)
+    def adopt_figures(self, beat_reply: messages.BeatBack) -> None:
+        """Adopt the figures that another owner has measured."""
+        for reported in beat_reply.figures:
+            dispatcher = self._dispatcher(reported.service)
             if dispatcher is not None:
                 dispatcher.adopt(
                     figures.Figures(
-                        told.rate,
-                        told.prompt,
-                        told.output,
-                        told.pace,
-                        told.seen,
-                        told.delay,
-                        told.alone,
-                        told.reads,
-                        told.slack or figures.FIRST_SLACK,
-                        told.pairs,
+                        reported.rate,
+                        reported.prompt,
+                        reported.output,
+                        reported.pace,
+                        reported.seen,
+                        reported.delay,
+                        reported.alone,
+                        reported.reads,
+                        reported.slack or figures.FIRST_SLACK,
+                        reported.pairs,
                     )
                 )
 
     def decline_all(self) -> None:
-        """Send everything that waits here to the next owner."""
-        for stream, reply in list(self._replies.items()):
+        """Decline all queued requests, so that they go to the next owner."""
+        for stream, reply in list(self._reply_functions.items()):
             reply(messages.Declined(stream))
             for dispatcher in self._dispatchers.values():
                 dispatcher.withdraw(stream)
-        self._replies.clear()
+        self._reply_functions.clear()
 
-    def _take_place(
+    def _handle_place(
         self, member: ids.MemberId, place: messages.Place, now: float
     ) -> None:
 
@@ -176,48 +178,50 @@
             return
         denied = self._accounts.grant(place.customer, place.units)
         if denied is not None:
-            reply(_without_quota(member, place, denied))
+            reply(_refuse_over_quota(member, place, denied))
             return
         if place.attempt == 1:
             self._budget.request(place.service, now)
         if not self._budget.grant(place.service, place.extra, now):
-            reply(_without_budget(member, place))
+            reply(_refuse_without_budget(member, place))
             return
-        job = _job(member, place, now)
-        self._replies[place.stream] = reply
+        job = _create_job(member, place, now)
+        self._reply_functions[place.stream] = reply
         decision = dispatcher.submit(job, now)
         if decision is not None:
-            self._announce(decision)
+            self._send_decision(decision)
             return
         if dispatcher.waiting == 1:
             for decision in dispatcher.decide(now):
-                self._announce(decision)
-        if place.stream in self._replies:
+                self._send_decision(decision)
+        if place.stream in self._reply_functions:
             reply(messages.Queued(place.stream))
 
-    def _take_held(self, beat: messages.Beat, now: float) -> None:
-        by_service: dict[
+    def _handle_running(self, beat: messages.Beat, now: float) -> None:
+        runs_by_service: dict[
             ids.ServiceName, list[tuple[ids.UpstreamId, memory.Run]]
         ] = {name: [] for name in self._dispatchers}
-        for held in beat.held:
-            starts_at = now - held.since if held.since >= 0 else now
+        for generation in beat.held:
+            starts_at = (
+                now - generation.since if generation.since >= 0 else now
+            )
             run = memory.Run(
-                held.stream,
+                generation.stream,
                 beat.member,
-                held.prompt,
-                held.output,
-                held.most,
+                generation.prompt,
+                generation.output,
+                generation.most,
                 starts_at,
-                held.made,
+                generation.made,
                 now,
             )
-            if self._dispatcher(held.service) is not None:
-                runs = by_service.setdefault(held.service, [])
-                runs.append((held.decode, run))
-        for service, runs in by_service.items():
+            if self._dispatcher(generation.service) is not None:
+                runs = runs_by_service.setdefault(generation.service, [])
+                runs.append((generation.decode, run))
+        for service, runs in runs_by_service.items():
             self._dispatchers[service].rebuild(beat.member, runs, now)
 
-    def _take_progress(
+    def _handle_progress(
         self,
         message: messages.Prefilled | messages.Started | messages.Release,
         now: float,
@@ -245,28 +249,30 @@
     def _dispatcher(
         self, service: ids.ServiceName
     ) -> dispatch.Dispatcher | None:
-        found = self._dispatchers.get(service)
-        if found is None:
-            known = self._directory.service(service)
-            if known is None or known.engine is None:
+        dispatcher = self._dispatchers.get(service)
+        if dispatcher is None:
+            service_config = self._directory.service(service)
+            if service_config is None or service_config.engine is None:
                 return None
-            found = dispatch.Dispatcher(
-                known.engine.kv_tokens, known.engine.slots, self._limiter
+            dispatcher = dispatch.Dispatcher(
+                service_config.engine.kv_tokens,
+                service_config.engine.slots,
+                self._limiter,
             )
-            self._dispatchers[service] = found
-            self._set_engines(service, found)
-        return found
+            self._dispatchers[service] = dispatcher
+            self._update_engines(service, dispatcher)
+        return dispatcher
 
     def refresh_engines(self) -> None:
-        """Take the upstreams and services that the directory knows."""
+        """Update dispatchers and engines from the directory."""
         config = self._directory.config
         for name in config.services if config is not None else ():
             self._dispatcher(name)
         for service, dispatcher in self._dispatchers.items():
-            self._set_engines(service, dispatcher)
-        self._due.set()
+            self._update_engines(service, dispatcher)
+        self._wake.set()
 
-    def _set_engines(
+    def _update_engines(
         self, service: ids.ServiceName, dispatcher: dispatch.Dispatcher
     ) -> None:
         registry = self._directory.registry
@@ -278,34 +284,34 @@
 
     async def _decide_forever(self) -> None:
         while True:
-            self._due.clear()
+            self._wake.clear()
             now = clock.now()
-            looks = []
+            delays = []
             for dispatcher in self._dispatchers.values():
                 for decision in dispatcher.decide(now):
-                    self._announce(decision)
-                look = dispatcher.next_look(now)
-                if look is not None:
-                    looks.append(look - now)
-            await asyncio.sleep(_BREATH)
+                    self._send_decision(decision)
+                next_check_at = dispatcher.next_look(now)
+                if next_check_at is not None:
+                    delays.append(next_check_at - now)
+            await asyncio.sleep(_ROUND_INTERVAL_S)
             try:
-                async with asyncio.timeout(min(looks, default=1.0)):
-                    await self._due.wait()
+                async with asyncio.timeout(min(delays, default=1.0)):
+                    await self._wake.wait()
             except asyncio.TimeoutError:
-                self._replan_lapsed()
+                self._expire()
 
-    def _replan_lapsed(self) -> None:
+    def _expire(self) -> None:
         now = clock.now()
         for service, dispatcher in self._dispatchers.items():
             dispatcher.lapse(now)
-            self._set_engines(service, dispatcher)
+            self._update_engines(service, dispatcher)
 
-    def _announce(self, decision: generations.Decision) -> None:
+    def _send_decision(self, decision: generations.Decision) -> None:
         job = decision.job
-        reply = self._replies.pop(job.stream, None)
-        word: OwnerReply
+        reply = self._reply_functions.pop(job.stream, None)
+        message: OwnerReply
         if isinstance(decision, generations.Placed):
-            word = messages.PlacedAt(
+            message = messages.PlacedAt(
                 job.stream,
                 decision.prefill or ids.UpstreamId(''),
                 decision.decode,
@@ -322,7 +328,7 @@
                 why=decision.why,
             )
         else:
-            word = messages.GivenUp(
+            message = messages.GivenUp(
                 job.stream, decision.retry_after, decision.why
             )
             instruments.decisions.add(1, {'outcome': 'refused'})
@@ -335,31 +341,31 @@
             )
             self._accounts.refund_generation(job.customer, job.units)
         if reply is not None:
-            reply(word)
+            reply(message)
 
 
-def _without_budget(
+def _refuse_without_budget(
     member: ids.MemberId, place: messages.Place
 ) -> messages.GivenUp:
-    """Refuse a further attempt, before anything is read for it."""
+    """Refuse a retry before any prefill is done for it."""
     why = 'retry budget spent'
     instruments.decisions.add(1, {'outcome': 'refused'})
     _log.info(
         'Refused.',
         stream=place.stream,
         member=member,
-        retry_after=_NO_BUDGET_PAUSE,
+        retry_after=_REFUSAL_RETRY_AFTER_S,
         why=why,
         sends=place.extra,
     )
-    return messages.GivenUp(place.stream, _NO_BUDGET_PAUSE, why)
+    return messages.GivenUp(place.stream, _REFUSAL_RETRY_AFTER_S, why)
 
 
-def _without_quota(
+def _refuse_over_quota(
     member: ids.MemberId, place: messages.Place, denied: quotas.Denied
 ) -> messages.GivenUp:
-    """Refuse a request whose customer has used its quota."""
-    retry_after = denied.retry_after or _NO_BUDGET_PAUSE
+    """Refuse a request whose customer is over quota."""
+    retry_after = denied.retry_after or _REFUSAL_RETRY_AFTER_S
     instruments.decisions.add(1, {'outcome': 'over_quota'})
     _log.info(
         'Refused.',
@@ -372,10 +378,10 @@
     return messages.GivenUp(place.stream, retry_after, denied.why, True)
 
 
-def _job(
+def _create_job(
     member: ids.MemberId, place: messages.Place, now: float
 ) -> generations.Job:
-    """Return what a gateway asks for, in the owner's time."""
+    """Return the job for a placement request, in the owner's clock time."""
     return generations.Job(
         stream=place.stream,
         entry=member,
@@ -396,5 +402,5 @@
         customer=place.customer,
         units=place.units,
         priority=place.priority,
-        paused={one.upstream: now + one.left for one in place.paused},
+        paused={pause.upstream: now + pause.left for pause in place.paused},
     )
--- a/galenahatch/gateway/owner_client.py
+++ b/galenahatch/gateway/owner_client.py
@@ -10,12 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Where generations run: asking the owner.
+"""Client of the owner, which places generations.
 
-Every gateway can decide (`owner`). It asks the owner that it sees; one that
-does not acknowledge at once is taken for gone, and the next one is asked,
-in the end this gateway itself. An owner that was frozen may answer late:
-what it placed is released again.
+Every gateway can act as the owner (`owner`). A gateway asks the member that
+it considers the owner. If that member doesn't acknowledge a request in time,
+it is suspected to have failed and the next one is asked, in the end this
+gateway itself. An owner that was suspended may reply late; the placements
+of such a reply are withdrawn.
 """
 
 import asyncio
@@ -40,21 +41,23 @@
 from galenahatch import timeouts
 
 ACK_TIMEOUT_S: typing.Final = 0.12
-"""Seconds for the owner's first word. Round trips take some ms; a frozen or
-cut owner costs a request this much and not its objective."""
-_LOOK_AGAIN: typing.Final = 0.25
-"""Seconds between two looks at whether the owner still answers."""
+"""Timeout of the owner's first reply. Round trips take a few ms; a suspended
+or unreachable owner delays a request by this much only, which leaves time to
+meet its objective."""
+_OWNER_CHECK_INTERVAL_S: typing.Final = 0.25
+"""Interval of checks that the owner of a queued request is still alive."""
 PlacementResult = messages.PlacedAt | messages.GivenUp
 
 
 @dataclasses.dataclass
 class PlacementRequest:
-    """A generation that wants engines; moments are monotonic seconds.
+    """A request for engines; points in time are in monotonic seconds.
 
     Attributes:
-        attempt: number of this attempt of the request, from 1.
-        extra: sends beyond the first that it will make if it is placed.
-        units: of the customer's quota, if they are not granted yet.
+        attempt: Number of this attempt at the request, from 1.
+        extra_sends: Sends beyond the first that follow if it is placed.
+        quota_units: Units to charge to the customer's quota; 0 if they were
+            charged before.
     """
 
     stream: ids.StreamId
@@ -80,29 +83,29 @@
 
 @dataclasses.dataclass
 class _Running:
-    """A generation at its decode engine.
+    """A generation that runs at its decode engine.
 
     Attributes:
-        made: returns the tokens that the engine has made so far.
-        began_at: when its first event came.
+        generated_tokens: Returns the number of tokens generated so far.
+        first_event_at: Arrival of the first event; None until then.
     """
 
-    held: messages.Held
-    made: collections.abc.Callable[[], int]
-    began_at: float | None = None
+    generation: messages.Held
+    generated_tokens: collections.abc.Callable[[], int]
+    first_event_at: float | None = None
 
 
 class OwnerClient:
-    """This gateway's talk with the owner.
+    """Sends placement requests and progress reports to the owner.
 
     Args:
-        directory: upstreams and services.
-        data_centre: of this VM.
-        budget: of retries, for what this gateway decides on.
-        accounts: of customers, for the same.
-        limiter: of upstreams, for the same.
-        paused: returns the engines that want nothing from this gateway, and
-            the seconds for which they don't.
+        directory: Source of upstreams and services.
+        data_centre: Data centre of this VM.
+        budget: Retry budget, for when this gateway is the owner.
+        accounts: Quota accounts, for when this gateway is the owner.
+        limiter: Rate limiter, for when this gateway is the owner.
+        paused_engines: Returns the engines that asked this gateway for a
+            pause, with the remaining seconds.
     """
 
     def __init__(
@@ -112,134 +115,143 @@
         budget: extras.GrantedBudget,
         accounts: accounts_module.Accounts,
         limiter: ratelimits.Limiter,
-        paused: collections.abc.Callable[[], dict[ids.UpstreamId, float]],
+        paused_engines: collections.abc.Callable[
+            [], dict[ids.UpstreamId, float]
+        ],
     ) -> None:
-        self._paused = paused
+        self._paused_engines = paused_engines
         self._data_centre = data_centre
         self._mesh: meshes.Mesh | None = None
-        self._asked: dict[ids.StreamId, asyncio.Queue[owners.OwnerReply]] = {}
-        self._held: dict[ids.StreamId, _Running] = {}
-        self._placed_by: dict[ids.StreamId, ids.MemberId] = {}
+        self._pending_replies: dict[
+            ids.StreamId, asyncio.Queue[owners.OwnerReply]
+        ] = {}
+        self._running: dict[ids.StreamId, _Running] = {}
+        self._owner_by_stream: dict[ids.StreamId, ids.MemberId] = {}
         self.owner = owners.Owner(
             directory, budget, accounts, limiter, self._deliver
         )
 
     def start(self, mesh: meshes.Mesh, background: tasks.Tasks) -> None:
-        """Start to decide and to ask."""
+        """Connect to the other gateways and start the local owner."""
         self._mesh = mesh
-        mesh.held = self._held_now
+        mesh.held = self._running_generations
         mesh.figures = self.owner.figures
         self.owner.start(background)
 
     def handle_message(
         self, member: ids.MemberId, message: frames.AnyMessage
     ) -> None:
-        """Take a message of another gateway."""
+        """Handle a message from another gateway."""
         if isinstance(message, messages.BeatBack):
             self.owner.adopt_figures(message)
         elif isinstance(message, owners.OwnerReply):
-            self._take_word(member, message)
+            self._handle_reply(member, message)
         else:
             self.owner.handle_message(member, message)
 
-    def _deliver(self, member: ids.MemberId, word: owners.OwnerReply) -> None:
-        """Send a word of this gateway as the owner."""
+    def _deliver(self, member: ids.MemberId, reply: owners.OwnerReply) -> None:
+        """Deliver a reply of this gateway's owner to a member."""
         assert self._mesh is not None
         if member == self._mesh.me:
-            self._take_word(member, word)
+            self._handle_reply(member, reply)
         else:
-            self._mesh.reply(member, word)
+            self._mesh.reply(member, reply)
 
-    async def place(self, wish: PlacementRequest) -> PlacementResult:
-        """Return the engines of a generation, or when to come back."""
+    async def place(self, request: PlacementRequest) -> PlacementResult:
+        """Return the engines for a generation, or a refusal."""
         assert self._mesh is not None
-        words: asyncio.Queue[owners.OwnerReply] = asyncio.Queue()
-        self._asked[wish.stream] = words
+        replies: asyncio.Queue[owners.OwnerReply] = asyncio.Queue()
+        self._pending_replies[request.stream] = replies
         try:
             while True:
                 owner = self._mesh.owner()
-                self._submit(owner, wish)
-                word = await self._first_word(owner, words)
-                if isinstance(word, messages.Queued):
-                    word = await self._last_word(owner, words)
-                if isinstance(word, PlacementResult):
-                    if isinstance(word, messages.PlacedAt):
-                        self._placed_by[wish.stream] = owner
-                    return word
-                self._tell(owner, messages.Withdraw(wish.stream))
+                self._submit(owner, request)
+                reply = await self._await_first_reply(owner, replies)
+                if isinstance(reply, messages.Queued):
+                    reply = await self._await_decision(owner, replies)
+                if isinstance(reply, PlacementResult):
+                    if isinstance(reply, messages.PlacedAt):
+                        self._owner_by_stream[request.stream] = owner
+                    return reply
+                self._send(owner, messages.Withdraw(request.stream))
         except asyncio.CancelledError:
-            self._tell(self._mesh.owner(), messages.Withdraw(wish.stream))
+            self._send(self._mesh.owner(), messages.Withdraw(request.stream))
             raise
         finally:
-            del self._asked[wish.stream]
+            del self._pending_replies[request.stream]
 
-    def _submit(self, owner: ids.MemberId, wish: PlacementRequest) -> None:
+    def _submit(self, owner: ids.MemberId, request: PlacementRequest) -> None:
         assert self._mesh is not None
         now = clock.now()
         message = messages.Place(
-            stream=wish.stream,
+            stream=request.stream,
             member=self._mesh.me,
-            service=wish.service,
-            prompt=wish.prompt_tokens,
-            hint=wish.estimated_output,
-            most=wish.max_output,
-            start_within=wish.start_by - now,
-            end_within=wish.deadline - now,
-            subject=wish.last_block_id,
+            service=request.service,
+            prompt=request.prompt_tokens,
+            hint=request.estimated_output,
+            most=request.max_output,
+            start_within=request.start_by - now,
+            end_within=request.deadline - now,
+            subject=request.last_block_id,
             data_centre=self._data_centre,
-            avoid=wish.avoid,
-            going_on=wish.is_resumed,
-            is_read=wish.is_prefilled,
-            leave_within=wish.caller_leaves_at - now,
-            longest_pause=wish.longest_pause,
-            attempt=wish.attempt,
-            extra=wish.extra_sends,
-            is_suspect=wish.is_suspect,
-            customer=wish.customer,
-            units=wish.quota_units,
-            priority=wish.priority,
+            avoid=request.avoid,
+            going_on=request.is_resumed,
+            is_read=request.is_prefilled,
+            leave_within=request.caller_leaves_at - now,
+            longest_pause=request.longest_pause,
+            attempt=request.attempt,
+            extra=request.extra_sends,
+            is_suspect=request.is_suspect,
+            customer=request.customer,
+            units=request.quota_units,
+            priority=request.priority,
             paused=tuple(
-                records.Paused(*item) for item in self._paused().items()
+                records.Paused(*item)
+                for item in self._paused_engines().items()
             ),
         )
-        self._tell(owner, message)
+        self._send(owner, message)
 
-    async def _first_word(
-        self, owner: ids.MemberId, words: 'asyncio.Queue[owners.OwnerReply]'
+    async def _await_first_reply(
+        self, owner: ids.MemberId, replies: 'asyncio.Queue[owners.OwnerReply]'
     ) -> owners.OwnerReply | None:
         assert self._mesh is not None
         try:
             async with timeouts.limit(ACK_TIMEOUT_S):
-                return await words.get()
+                return await replies.get()
         except asyncio.TimeoutError:
             self._mesh.suspect(owner)
             return None
 
-    async def _last_word(
-        self, owner: ids.MemberId, words: 'asyncio.Queue[owners.OwnerReply]'
+    async def _await_decision(
+        self, owner: ids.MemberId, replies: 'asyncio.Queue[owners.OwnerReply]'
     ) -> owners.OwnerReply | None:
         assert self._mesh is not None
         while True:
             try:
-                async with timeouts.limit(_LOOK_AGAIN):
-                    word = await words.get()
+                async with timeouts.limit(_OWNER_CHECK_INTERVAL_S):
+                    reply = await replies.get()
             except asyncio.TimeoutError:
                 if not self._mesh.is_live(owner):
                     return None
                 continue
-            if not isinstance(word, messages.Queued):
-                return word
+            if not isinstance(reply, messages.Queued):
+                return reply
 
     def track_running(
-        self, held: messages.Held, made: collections.abc.Callable[[], int]
+        self,
+        generation: messages.Held,
+        generated_tokens: collections.abc.Callable[[], int],
     ) -> None:
-        """Note a generation that was sent to its decode engine.
+        """Track a generation that is sent to its decode engine.
 
         Args:
-            held: the generation.
-            made: returns the tokens that the engine has made so far.
+            generation: The generation.
+            generated_tokens: Returns the number of tokens generated so far.
         """
-        self._held[held.stream] = _Running(held, made)
+        self._running[generation.stream] = _Running(
+            generation, generated_tokens
+        )
 
     def report_prefilled(
         self,
@@ -248,58 +260,60 @@
         tokens: int,
         seconds: float,
     ) -> None:
-        """Tell that a prompt was read."""
-        owner = self._placed_by.get(stream)
+        """Report a completed prefill to the owner."""
+        owner = self._owner_by_stream.get(stream)
         if owner is not None:
             message = messages.Prefilled(stream, service, tokens, seconds)
-            self._tell(owner, message)
+            self._send(owner, message)
 
     def report_started(self, stream: ids.StreamId) -> None:
-        """Tell of the first event of a stream."""
-        found = self._held.get(stream)
-        owner = self._placed_by.get(stream)
-        if found is None or owner is None:
+        """Report the first event of a stream to the owner."""
+        running = self._running.get(stream)
+        owner = self._owner_by_stream.get(stream)
+        if running is None or owner is None:
             return
-        found.began_at = clock.now()
-        self._tell(owner, messages.Started(stream, found.held.service))
+        running.first_event_at = clock.now()
+        self._send(owner, messages.Started(stream, running.generation.service))
 
     def release(self, release: messages.Release) -> None:
-        """Tell that a generation has ended at its engines."""
-        self._held.pop(release.stream, None)
-        owner = self._placed_by.pop(release.stream, None)
+        """Report to the owner that a generation no longer uses its engines."""
+        self._running.pop(release.stream, None)
+        owner = self._owner_by_stream.pop(release.stream, None)
         if owner is not None:
-            self._tell(owner, release)
+            self._send(owner, release)
 
     def refund_units(self, customer: ids.CustomerName, units: float) -> None:
-        """Tell that a generation which was granted units has not run."""
+        """Ask the owner to refund a generation that was not executed."""
         assert self._mesh is not None
         message = messages.GivenBack(customer, units)
-        self._tell(self._mesh.owner(), message)
+        self._send(self._mesh.owner(), message)
 
-    def _held_now(self) -> tuple[messages.Held, ...]:
+    def _running_generations(self) -> tuple[messages.Held, ...]:
         now = clock.now()
         return tuple(
             msgspec.structs.replace(
-                running.held, since=now - running.began_at, made=running.made()
+                running.generation,
+                since=now - running.first_event_at,
+                made=running.generated_tokens(),
             )
-            if running.began_at is not None
-            else running.held
-            for running in self._held.values()
+            if running.first_event_at is not None
+            else running.generation
+            for running in self._running.values()
         )
 
-    def _tell(self, owner: ids.MemberId, message: frames.AnyMessage) -> None:
+    def _send(self, owner: ids.MemberId, message: frames.AnyMessage) -> None:
         assert self._mesh is not None
         if owner == self._mesh.me:
             self.handle_message(owner, message)
         else:
             self._mesh.send(owner, message)
 
-    def _take_word(
-        self, member: ids.MemberId, word: owners.OwnerReply
+    def _handle_reply(
+        self, member: ids.MemberId, reply: owners.OwnerReply
     ) -> None:
-        words = self._asked.get(word.stream)
-        if words is not None:
-            words.put_nowait(word)
-        elif isinstance(word, messages.PlacedAt):
-            if self._placed_by.get(word.stream) != member:
-                self._tell(member, messages.Withdraw(word.stream))
+        replies = self._pending_replies.get(reply.stream)
+        if replies is not None:
+            replies.put_nowait(reply)
+        elif isinstance(reply, messages.PlacedAt):
+            if self._owner_by_stream.get(reply.stream) != member:
+                self._send(member, messages.Withdraw(reply.stream))
