--- a/galenahatch/gateway/__init__.py
+++ b/galenahatch/gateway/__init__.py
@@ -10,4 +10,4 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""One process on each VM: callers, decisions and membership."""
+"""The gateway: handles callers, placement and membership on each VM."""
--- a/galenahatch/gateway/__main__.py
+++ b/galenahatch/gateway/__main__.py
@@ -12,16 +12,16 @@
 
 """Entry point of the gateway: `python3 -m galenahatch.gateway`.
 
-SIGHUP tells that the settings have changed and may come at any moment. Until
-the gateway handles it, it is ignored: loading the program takes half a
-second, in which the signal would end the process.
+SIGHUP announces changed settings and may arrive at any moment. It is ignored
+until the gateway installs its handler: loading the program takes half a
+second, during which the signal would end the process.
 
-A gateway that was killed serves as soon as it has loaded itself, which takes
-0.7 s of a processor, and VMs have half of one or less. So what no gateway
-uses is left out: the HTTP library reads all certificates of the system as it
-is loaded, though nothing here speaks TLS, and the library of services loads
-a terminal's printer. Nothing that is loaded becomes garbage, so the collector
-waits until all is there, and never looks at it again.
+After a kill, the gateway serves again only once it has loaded, which takes
+0.7 s of CPU time, and VMs have half a CPU or less. So unused parts are not
+loaded: the HTTP library would read all system certificates on import, though
+the gateway doesn't use TLS, and the service library would import a terminal
+formatter. Loaded modules never become garbage, so the garbage collector is
+off during loading and ignores them afterwards.
 """
 
 import gc
@@ -31,17 +31,17 @@
 import sys
 import typing
 
-_CERTIFICATES: typing.Final = 'SSL_CERT_FILE'
-"""File that the TLS library reads its certificates from. Empty, it saves
-0.04 s of a processor and 1.7 MB (median of five starts)."""
-_PRINTER: typing.Final = 'rich'
-"""Optional to the library that imports it; without it, 0.07 s and 0.9 MB
-(median of five starts)."""
+_CERTIFICATE_FILE_VARIABLE: typing.Final = 'SSL_CERT_FILE'
+"""Variable with the path of the file of TLS certificates. An empty file
+saves 0.04 s of CPU time and 1.7 MB (median of five starts)."""
+_TERMINAL_FORMATTER: typing.Final = 'rich'
+"""Optional dependency of the service library. Leaving it out saves 0.07 s of
+CPU time and 0.9 MB (median of five starts)."""
 
 if __name__ == '__main__':
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    os.environ.setdefault(_CERTIFICATES, os.devnull)
-    sys.modules[_PRINTER] = None  # type: ignore[assignment]
+    os.environ.setdefault(_CERTIFICATE_FILE_VARIABLE, os.devnull)
+    sys.modules[_TERMINAL_FORMATTER] = None  # type: ignore[assignment]
     gc.disable()
     program = importlib.import_module('galenahatch.gateway.program')
     gc.freeze()
--- a/galenahatch/gateway/connections.py
+++ b/galenahatch/gateway/connections.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Connections of callers, and how a gateway that stops parts with them.
+"""Connections of callers and their graceful shutdown.
 
-Callers use the connections that they have until these are closed, and open
-new ones until nobody listens. Where this process did not run for a while,
-requests wait at its sockets unread. Closing such a connection loses a request
-that may have been sent long before, so each is asked whether bytes wait at it
-before it is closed, and the listening socket likewise.
+Callers reuse a connection until it is closed, and open new ones as long as
+the gateway listens. After a pause of this process, requests may be waiting
+unread in its sockets. Closing such a connection would lose a request that may
+have been sent much earlier, so every connection and the listening socket are
+checked for unread data before they are closed.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class _Connection(web.RequestHandler):
-    """One caller's connection."""
+    """The server side of one caller's connection."""
 
     __slots__ = ('_head_begun',)
 
@@ -44,11 +44,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of a request has come that is not answered.
+        """Whether no part of an unanswered request has arrived.
 
-        The library's own `close` leaves an idle connection open without
-        anyone to read it, and it does not tell idle ones from those whose
-        request was read just now.
+        The library's own `close` leaves an idle connection open with no
+        reader, and doesn't distinguish idle connections from those whose
+        request has just been read.
         """
         if not self._is_awaiting_request or self._messages:
             return False
@@ -60,27 +60,27 @@
 
     @property
     def _has_unread_bytes(self) -> bool:
-        """Whether bytes of the caller wait at the socket."""
+        """Whether the socket has unread bytes of the caller."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
         return _is_readable(transport.get_extra_info('socket'))
 
     def data_received(self, data: bytes) -> None:
-        """Read on, and note whether a head has come in part."""
-        # Else it is a body, or follows a request that is being answered.
+        """Process received data and record whether a head is incomplete."""
+        # Otherwise the data is a body or follows a request in progress.
         is_head = self._is_awaiting_request
-        known = self._request_count
+        count_before = self._request_count
         super().data_received(data)
-        self._head_begun = is_head and self._request_count == known
+        self._head_begun = is_head and self._request_count == count_before
 
 
 class Server(web.Server):
-    """Connections of callers, with the limits of the configuration.
+    """Accepts callers' connections and applies the configured limits.
 
     Args:
-        handler: called with each request.
-        limits: asked for each new connection.
+        handler: function that answers a request.
+        limits: function that returns the limits of a new connection.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         self._listener: asyncio.Server | None = None
 
     def __call__(self) -> _Connection:
-        """Return the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         limits = self._limits()
         return _Connection(
             self,
@@ -107,48 +107,52 @@
             auto_decompress=False,
         )
 
-    async def listen(self, where: settings.Address) -> None:
-        """Take connections at an address."""
+    async def listen(self, address: settings.Address) -> None:
+        """Accept connections at an address."""
         self._listener = await self._loop.create_server(
             self,
-            where.host,
-            where.port,
+            address.host,
+            address.port,
             backlog=_LISTEN_BACKLOG,
             reuse_address=True,
         )
 
-    async def drain(self, is_late: bool) -> bool:
-        """Close what no caller waits at; return whether nothing is left.
+    async def drain(self, refuse_new: bool) -> bool:
+        """Close idle connections and, when possible, the listening socket.
 
-        To be called again until it is: what waits is read in between, answers
-        go out to their last byte, and callers are taken as long as there is
-        one to answer. Who comes later finds nobody listening, and so knows
-        that nothing was sent.
+        Call this repeatedly until it returns True. Between calls, waiting
+        requests are read, answers are sent completely, and connections are
+        accepted while other callers are being served. Later callers are
+        refused a connection, and so know that nothing was sent.
 
         Args:
-            is_late: whether to take no further callers in any case.
+            refuse_new: whether to stop accepting even while callers are
+                connected.
+
+        Returns:
+            Whether the socket and all connections are closed.
         """
         if not self._has_pending_connections and (
-            is_late or not self.connections
+            refuse_new or not self.connections
         ):
             self.stop_listening()
         self._close_idle()
-        # One that was accepted just before is made known on the next turn.
+        # A connection accepted just now is registered in the next iteration.
         await timeouts.look_around()
         return self._listener is None and not self.connections
 
     def stop_listening(self) -> None:
-        """Take no connections any more."""
+        """Close the listening socket."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
 
     @property
     def _has_pending_connections(self) -> bool:
-        """Whether callers wait for their connections to be accepted."""
+        """Whether connections are waiting to be accepted."""
         if self._listener is None:
             return False
-        return any(_is_readable(one) for one in self._listener.sockets)
+        return any(_is_readable(sock) for sock in self._listener.sockets)
 
     def _close_idle(self) -> None:
         for connection in self.connections:
@@ -157,7 +161,7 @@
 
 
 def _is_readable(sock: typing.Any) -> bool:
-    """Return whether a socket has bytes or connections to read."""
+    """Return whether a socket has bytes to read or connections to accept."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN)
     return bool(poll.poll(0))
--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -10,16 +10,16 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What a gateway knows of the deployment: configuration and upstreams.
+"""The gateway's copy of the configuration and the list of upstreams.
 
-Both stand in the platform's store. A feed of each table brings changes as
-they are made; when the store has dropped the history that a feed needs, the
-table is read again. When this VM alone can't reach the store, peers tell
-what they know (`take_news`).
+Both are kept in the platform's store. A feed of each table delivers changes
+as they are made; when the store no longer has the history that a feed needs,
+the whole table is read again. If only this VM can't reach the store, peers
+send their copy (`apply_update`).
 
-A configuration is only ever replaced by one with a higher version, from
-wherever it comes, so no delayed answer brings an older one back, nor does a
-store that comes back from an older copy.
+A configuration is only replaced by one with a higher version, whatever its
+source, so neither a delayed answer nor a store restored from an older copy
+brings back an older configuration.
 """
 
 import collections.abc
@@ -41,6 +41,7 @@
 from galenahatch import tasks
 
 _ANSWER_SLACK_S: typing.Final = 1.0
+"""Seconds that an answer to a long poll may take beyond its wait."""
 _log = logs.Log('directory')
 
 
@@ -49,8 +50,9 @@
 
     Args:
         store: the platform's store.
-        background: where its tasks run.
-        drain: seconds after which an upstream that is gone may get nothing.
+        background: runner of background tasks.
+        drain: seconds after the removal of an upstream within which requests
+            to it must stop.
         heartbeat: seconds between two writes of an upstream's entry.
     """
 
@@ -103,7 +105,7 @@
 
     @property
     def upstreams_version(self) -> versions.Version:
-        """Version of the store up to which upstreams are known."""
+        """Version of the store as of which upstreams are known."""
         return self.entries.version
 
     @property
@@ -112,28 +114,31 @@
         return self.config.version if self.config is not None else 0
 
     def run(self) -> None:
-        """Start to follow the store."""
+        """Start following the store."""
         self._tasks.keep('config feed', self._config_feed.run)
         self._tasks.keep('upstream feed', self._upstream_feed.run)
         self._tasks.keep('restores', self.entries.run)
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store has told the newest changes just now."""
-        heard_at = min(
+        """Whether both feeds have had a recent answer from the store."""
+        last_answer_at = min(
             self._config_feed.last_answer_at,
             self._upstream_feed.last_answer_at,
         )
-        return clock.now() - heard_at < followers.LONG_POLL_S + _ANSWER_SLACK_S
+        return (
+            clock.now() - last_answer_at
+            < followers.LONG_POLL_S + _ANSWER_SLACK_S
+        )
 
     def on_change(self, listener: collections.abc.Callable[[], None]) -> None:
-        """Call a function after each change."""
+        """Register a function that is called after each change."""
         self._change_listeners.append(listener)
 
     def on_restart(
         self, listener: collections.abc.Callable[[ids.UpstreamId], None]
     ) -> None:
-        """Call a function with each start that follows another one."""
+        """Register a function that is called with each restarted upstream."""
         self._restart_listeners.append(listener)
 
     def record_restart(
@@ -142,19 +147,19 @@
         born: int,
         stage: upstreams.Stage | None,
     ) -> upstreams.Upstream | None:
-        """Take from an upstream itself when it started.
+        """Record the start time that an upstream itself reports.
 
         Returns:
-            The later start, if it is one that takes work.
+            The restarted upstream if it is new and accepts work, else None.
         """
-        later = self.registry.restarted(upstream, born, stage, clock.now())
-        if later is not None:
-            self.entries.report_restart(later.id, upstream, 'report')
+        restarted = self.registry.restarted(upstream, born, stage, clock.now())
+        if restarted is not None:
+            self.entries.report_restart(restarted.id, upstream, 'report')
             self._notify_change()
-        return later
+        return restarted
 
     def mark_leaving(self, upstream: ids.UpstreamId) -> bool:
-        """Take that an upstream said so itself; return whether it is news."""
+        """Mark an upstream as leaving; return whether that is a change."""
         if not self.registry.told_leaving(upstream, clock.now()):
             return False
         self._notify_change()
@@ -166,33 +171,31 @@
             return None
         return self.config.services.get(name)
 
-    # News of peers.
-
     def update_for(
-        self, ask: messages.UpdateRequest
+        self, request: messages.UpdateRequest
     ) -> messages.Update | None:
-        """Return what is newer here than at a peer, if anything is."""
+        """Return the changes that a peer lacks, or None if there are none."""
         config = b''
-        if self.config_version > ask.config_version:
+        if self.config_version > request.config_version:
             config = zlib.compress(self._document)
-        return self.entries.update_for(ask, config)
+        return self.entries.update_for(request, config)
 
-    def apply_update(self, news: messages.Update) -> None:
-        """Take what a peer knows, if it is newer."""
-        if news.config:
-            self._apply_compressed(news.config)
-        self.entries.apply_update(news)
+    def apply_update(self, update: messages.Update) -> None:
+        """Apply an update from a peer if it is newer."""
+        if update.config:
+            self._apply_compressed(update.config)
+        self.entries.apply_update(update)
 
     def _apply_compressed(self, config: bytes) -> None:
         try:
             document = zlib.decompress(config)
         except zlib.error as error:
-            _log.error('Bad news kept out.', detail=str(error))
+            _log.error(
+                'Ignored an invalid update from a peer.', detail=str(error)
+            )
             return
         self._apply_document(document, 'peer')
 
-    # News of the store.
-
     def _apply_config_rows(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
@@ -204,7 +207,7 @@
         config = documents.configuration(document)
         if isinstance(config, errors.Failure):
             _log.error(
-                'Bad configuration kept out.',
+                'Ignored an invalid configuration.',
                 source=source,
                 detail=config.detail,
                 in_force=self.config_version,
--- a/galenahatch/gateway/entries.py
+++ b/galenahatch/gateway/entries.py
@@ -12,10 +12,11 @@
 
 """The entries that upstreams write into the store.
 
-They are known up to a version of the store (`core/versions`): what is older
-changes nothing, whatever its number, and the first list of a new era replaces
-that of the one before, but for what is known better (`core/restores`). News
-come from the store or from peers, which tell what they know in the same form.
+Entries are known as of a version of the store (`core/versions`). Older data
+is ignored, whatever its number. The first list of a new era replaces that of
+the previous era, except for entries about which the gateway has better
+information (`core/restores`). Changes come from the store, or from peers in
+the same form.
 """
 
 import asyncio
@@ -35,8 +36,9 @@
 from galenahatch.platform import store as stores
 
 HEARTBEAT_INTERVAL_S: typing.Final = 1.2
-"""Seconds between two writes of an entry where nobody says."""
+"""Default number of seconds between two writes of an entry."""
 _SETTLE_INTERVAL_S: typing.Final = 0.25
+"""Seconds between two checks of entries that a restore left unsettled."""
 _log = logs.Log('directory')
 
 ChangeCallback = collections.abc.Callable[[], None]
@@ -44,12 +46,12 @@
 
 
 class _KnownEntry(typing.NamedTuple):
-    """An entry as the store has it.
+    """An entry as it is in the store.
 
     Attributes:
-        number: of the version of its last change, in the newest era.
-        document: None once it is gone.
-        since: number at which it appeared; 0 if that was not seen.
+        number: version number of its last change, in the newest era.
+        document: its value; None once it has been removed.
+        since: version number at which it was added; 0 if that was not seen.
     """
 
     number: int = 0
@@ -58,16 +60,17 @@
 
 
 class Entries:
-    """Upstreams as their entries tell.
+    """Upstreams according to their entries in the store.
 
     Args:
-        drain: seconds after which an upstream that is gone may get nothing.
+        drain: seconds after the removal of an upstream within which requests
+            to it must stop.
         heartbeat: seconds between two writes of an entry.
-        changed: called after each change.
+        on_change: callback after each change.
 
     Attributes:
         registry: the upstreams.
-        on_start: called with each start that follows another one.
+        on_restart: callback with each restarted upstream.
     """
 
     def __init__(
@@ -79,39 +82,38 @@
         self._entries: dict[str, _KnownEntry] = {}
         self._unusable: dict[str, str] = {}
         self._version = versions.NEVER
-        # Version of the first list of the newest era: what was gone before
-        # is not known.
+        # Version of the first list of the newest era; earlier removals are
+        # unknown.
         self._complete_since = versions.NEVER
         self._unsettled = restores.Unsettled(heartbeat)
         self._restore_seen = asyncio.Event()
 
     @property
     def version(self) -> versions.Version:
-        """Version of the store up to which entries are known."""
+        """Version of the store as of which entries are known."""
         return self._version
 
-    # News of peers.
-
     def update_for(
-        self, ask: messages.UpdateRequest, config: bytes
+        self, request: messages.UpdateRequest, config: bytes
     ) -> messages.Update | None:
-        """Return what is newer here than at a peer, if anything is.
+        """Return the changes that a peer lacks, or None if there are none.
 
-        A gateway that started after the peer does not know what has gone in
-        between; it tells all rows, and the peer drops what is not among them.
-        So does one that has heard of a restore since.
+        A gateway that started after the peer, or that has since seen a
+        restore, doesn't know of entries removed in between. It sends all
+        rows, and the peer drops entries that are not among them.
 
         Args:
-            ask: of the peer.
-            config: to be told besides; empty if it needs none.
+            request: versions that the peer has.
+            config: compressed configuration to include; empty if the peer
+                has it.
         """
-        asked = messages.upstreams_version(ask)
-        if not config and self._version <= asked:
+        peer_version = messages.upstreams_version(request)
+        if not config and self._version <= peer_version:
             return None
-        is_whole = asked < self._complete_since
-        after = -1 if is_whole else ask.upstreams_version
+        is_complete = peer_version < self._complete_since
+        after = -1 if is_complete else request.upstreams_version
         rows: tuple[messages.UpdateRow, ...] = ()
-        if self._version > asked:
+        if self._version > peer_version:
             rows = tuple(
                 messages.UpdateRow(key, row.number, row.document or b'')
                 for key, row in self._entries.items()
@@ -119,35 +121,33 @@
             )
         return messages.Update(
             config,
-            ask.upstreams_version,
+            request.upstreams_version,
             self._version.number,
             rows,
-            is_whole,
+            is_complete,
             self._version.era,
         )
 
-    def apply_update(self, news: messages.Update) -> None:
-        """Take what a peer knows, if it is newer."""
-        version = messages.upstreams_version(news)
+    def apply_update(self, update: messages.Update) -> None:
+        """Apply an update from a peer if it is newer."""
+        version = messages.upstreams_version(update)
         if version <= self._version:
             return
         rows = [
             stores.Row(row.key, row.version, row.document, not row.document)
-            for row in news.rows
+            for row in update.rows
         ]
-        after = versions.Version(news.era, news.after)
-        if news.is_complete:
+        after = versions.Version(update.era, update.after)
+        if update.is_complete:
             current = [row for row in rows if not row.removed]
             self.replace_all(current, version)
         elif after <= self._version:
             self.apply_changes(rows, version)
 
-    # News of the store.
-
     def replace_all(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
-        """Take the whole list, as of a version."""
+        """Replace all entries by the list as of a version."""
         is_restored = versions.is_restore(self._version, version)
         if not self._advance(rows, version):
             return
@@ -159,24 +159,24 @@
                 self._entries[key] = _KnownEntry(version.number)
         for row in rows:
             self._entries[row.key] = _KnownEntry(row.ver, row.value)
-        believed = [
+        accepted = [
             row for row in rows if not self._unsettled.doubts(row.key, row.ver)
         ]
-        for row in believed:
+        for row in accepted:
             self._unsettled.changed(row.key)
-        found = [
-            entry for row in believed if (entry := self._decode_usable(row))
+        usable = [
+            entry for row in accepted if (entry := self._decode_usable(row))
         ]
-        before = {
+        previous = {
             entry.id: self.registry.latest(incarnations.instance(entry.id))
-            for entry in found
+            for entry in usable
         }
-        self.registry.replace(found, clock.now(), self._unsettled.kept)
-        for key, earlier in before.items():
-            self.report_restart(key, earlier, 'store')
+        self.registry.replace(usable, clock.now(), self._unsettled.kept)
+        for key, old_id in previous.items():
+            self.report_restart(key, old_id, 'store')
         _log.info(
             'Upstreams read.',
-            count=len(found),
+            count=len(usable),
             era=version.era,
             ver=version.number,
         )
@@ -185,19 +185,23 @@
     def apply_changes(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
-        """Take entries that have changed up to a version."""
+        """Apply changes up to a version."""
         if not self._advance(rows, version):
             return
         for row in rows:
             number = row.ver or version.number
-            known = self._entries.get(row.key, _KnownEntry())
-            if number < known.number:
+            previous = self._entries.get(row.key, _KnownEntry())
+            if number < previous.number:
                 continue
             self._unsettled.changed(row.key)
             if row.removed:
                 self._apply_removal(row.key, number)
             else:
-                since = known.since if known.document is not None else row.ver
+                since = (
+                    previous.since
+                    if previous.document is not None
+                    else row.ver
+                )
                 self._entries[row.key] = _KnownEntry(row.ver, row.value, since)
                 self._apply_entry(row)
         self._on_change()
@@ -205,19 +209,19 @@
     def _advance(
         self, rows: list[stores.Row], version: versions.Version
     ) -> bool:
-        """Move on to a version, unless a later one is known."""
-        known = self._version
-        if version < known:
+        """Advance to a version unless a later one is known."""
+        current = self._version
+        if version < current:
             _log.info(
-                'Older news of upstreams dropped.',
+                'Ignored an outdated list of upstreams.',
                 rows=len(rows),
                 era=version.era,
                 ver=version.number,
-                known_era=known.era,
-                known=known.number,
+                known_era=current.era,
+                known=current.number,
             )
             return False
-        if known == versions.NEVER or version.era != known.era:
+        if current == versions.NEVER or version.era != current.era:
             self._complete_since = version
         self._version = version
         return True
@@ -232,10 +236,10 @@
         entry = self._decode_usable(row)
         if entry is None:
             return
-        earlier = self.registry.latest(ids.InstanceId(row.key))
+        previous = self.registry.latest(ids.InstanceId(row.key))
         if not self.registry.put(entry, clock.now()):
             return
-        self.report_restart(entry.id, earlier, 'store')
+        self.report_restart(entry.id, previous, 'store')
         _log.info(
             'Upstream changed.',
             upstream=entry.id,
@@ -247,7 +251,7 @@
         )
 
     def _decode_usable(self, row: stores.Row) -> upstreams.Upstream | None:
-        """Return the upstream that an entry names, if it can be used."""
+        """Return the upstream of an entry, or None if it is not usable."""
         entry = documents.upstream(row.key, row.value)
         if not isinstance(entry, errors.Failure):
             self._unusable.pop(row.key, None)
@@ -262,27 +266,25 @@
     def report_restart(
         self,
         upstream: ids.UpstreamId,
-        earlier: ids.UpstreamId | None,
+        previous: ids.UpstreamId | None,
         source: str,
     ) -> None:
-        """Tell that an upstream has started again, if it has."""
-        if earlier is None or not incarnations.is_later(upstream, earlier):
+        """Log and announce the start of an upstream if it is a restart."""
+        if previous is None or not incarnations.is_later(upstream, previous):
             return
         _log.info(
             'Upstream started again.',
             upstream=upstream,
-            before=earlier,
+            before=previous,
             source=source,
         )
         self.on_restart(upstream)
 
-    # What a restore leaves unsettled.
-
     def _compare_with_restored(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
-        """Find what is known better than the list of a restored store."""
-        known = {
+        """Find entries more reliable than the list of a restored store."""
+        previous = {
             key: restores.Known(
                 row.number,
                 row.document is None or key in self._unusable,
@@ -292,20 +294,20 @@
         }
         listed = {row.key: row.ver for row in rows}
         now = clock.now()
-        self._unsettled.restored(known, listed, version.number, now)
-        doubted = sum(self._unsettled.doubts(r.key, r.ver) for r in rows)
+        self._unsettled.restored(previous, listed, version.number, now)
+        doubted_count = sum(self._unsettled.doubts(r.key, r.ver) for r in rows)
         _log.info(
-            'Upstreams of a restored store.',
+            'Compared upstreams with a restored store.',
             era=version.era,
             ver=version.number,
             count=len(rows),
-            doubted=doubted,
+            doubted=doubted_count,
             kept=len(self._unsettled.kept),
         )
         self._restore_seen.set()
 
     async def run(self) -> None:
-        """Believe what restored stores list, each time when it is due."""
+        """Accept entries of restored stores once they have settled."""
         while True:
             await self._restore_seen.wait()
             await asyncio.sleep(_SETTLE_INTERVAL_S)
@@ -314,13 +316,13 @@
                 self._restore_seen.clear()
 
     def accept_settled(self) -> None:
-        """Believe what a restored store has listed for long enough."""
-        believed, lost = self._unsettled.settle(clock.now())
+        """Accept entries that a restored store has listed for long enough."""
+        accepted, lost = self._unsettled.settle(clock.now())
         for key in lost:
             self._apply_removal(key, self._entries[key].number)
-        for key in believed:
+        for key in accepted:
             row = self._entries[key]
             if row.document is not None:
                 self._apply_entry(stores.Row(key, row.number, row.document))
-        if believed or lost:
+        if accepted or lost:
             self._on_change()
--- a/galenahatch/gateway/follower.py
+++ b/galenahatch/gateway/follower.py
@@ -12,16 +12,16 @@
 
 """Feeds of the store's tables.
 
-A feed brings changes as they are made; when the store has dropped the
-history that a feed needs, or has come back from an older copy, the table is
-read again. A restore is known by the era of an answer: the numbers that are
-given out again may have passed those that the feed knows.
-
-While the store does not answer, one feed of this gateway asks whether it is
-back and the others wait for it. Gateways that others would tell of changes
-ask less often the more of them there are: together they still ask several
-times a second. Eighty that asked with each feed made 4,000 calls in eight
-seconds, each of them paid for, and a load on a store that was coming back.
+A feed delivers changes as they are made. When the store no longer has the
+history that a feed needs, or was restored from an older copy, the whole table
+is read again. A restore is detected by the era of an answer: reissued version
+numbers may already exceed those that the feed knows.
+
+While the store doesn't answer, one feed of each gateway probes it and the
+others wait. Gateways that get changes from peers probe less often the more of
+them there are; together they still probe several times a second. With every
+feed probing, 80 gateways made 4,000 calls in eight seconds, all of them
+charged, and loaded a recovering store.
 """
 
 import asyncio
@@ -37,18 +37,19 @@
 from galenahatch.platform import store as stores
 
 LONG_POLL_S: typing.Final = 3.0
-"""Seconds for which a feed call waits at the store. Calls are paid for; but
-a call that began when the store fell silent ends only then, and a change
-must be in force about five seconds after the store is back."""
+"""Seconds that a long poll waits for changes. A longer wait needs fewer
+calls, which are charged, but a call that was pending when the store went
+silent ends only after it, and a change must be in force about five seconds
+after the store recovers."""
 _MIN_RETRY_DELAY_S: typing.Final = 0.15
 MAX_RETRY_DELAY_S: typing.Final = 0.8
-"""Seconds between tries while the store fails: each refused call is paid
-for, and a configuration must be in force about two seconds after the store
-is back."""
+"""Longest delay between retries while the store fails. Refused calls are
+charged, and a configuration must be in force about two seconds after the
+store recovers."""
 BATCH_DELAY_S: typing.Final = 0.2
-"""Seconds between two calls of a feed that brings changes: those that come
-close together, as when all upstreams start, cost one call. A tenth of the
-shortest bound on a change."""
+"""Seconds before the next call after changes, so that a burst, such as the
+start of all upstreams, costs one call. A tenth of the shortest time limit for
+a change to take effect."""
 _IDLE_CHECK_INTERVAL_S: typing.Final = 0.25
 _log = logs.Log('directory')
 
@@ -60,10 +61,11 @@
 
 
 class Outage:
-    """What the feeds of a gateway know of a store that does not answer.
+    """Coordinates the retries of a gateway's feeds during a store outage.
 
     Attributes:
-        longest_pause: tells the seconds between two questions at the most.
+        max_retry_delay: function that returns the most seconds between two
+            probes.
     """
 
     def __init__(self) -> None:
@@ -75,17 +77,17 @@
         )
 
     async def wait_to_retry(self, feed: 'Follower') -> None:
-        """Return when a feed whose call failed should call again."""
+        """Wait until a feed whose call failed should retry."""
         if self._probing_feed not in (None, feed):
             await self._wait_for_probing_feed()
             return
         self._probing_feed = feed
-        longest = self.max_retry_delay()
-        self._delay = min(max(_MIN_RETRY_DELAY_S, 2 * self._delay), longest)
+        max_delay = self.max_retry_delay()
+        self._delay = min(max(_MIN_RETRY_DELAY_S, 2 * self._delay), max_delay)
         await asyncio.sleep(self._delay * random.uniform(*_JITTER_RANGE))
 
     def record_answer(self, feed: 'Follower') -> None:
-        """Note that a feed's call was answered, or that it calls no more."""
+        """Record that a feed's call was answered, or that it is now idle."""
         if self._probing_feed is not feed:
             return
         self._probing_feed = None
@@ -94,7 +96,7 @@
         self._ended = asyncio.Event()
 
     async def _wait_for_probing_feed(self) -> None:
-        # Only a part of the store may be away: not for ever.
+        # Wait with a timeout, since only part of the store may be failing.
         try:
             async with asyncio.timeout(2 * self.max_retry_delay()):
                 await self._ended.wait()
@@ -103,16 +105,19 @@
 
 
 class Follower:
-    """Follows one table of the store.
+    """Follows the changes of one table of the store.
 
     Args:
-        store: to read.
-        outage: shared by all feeds of the gateway.
-        table: its name.
-        take_all: called with all rows after a reading.
-        take_some: called with the rows that changed.
-        gather: seconds between two calls that bring changes.
-        idle: whether peers tell what the feed would.
+        store: store to read.
+        outage: state shared by all feeds of the gateway.
+        table: name of the table.
+        on_all_rows: callback with all rows after a full read.
+        on_changed_rows: callback with the rows that changed.
+        batch_delay: seconds to wait before the next call after changes.
+        is_idle: whether peers deliver the changes, so that no call is needed.
+
+    Attributes:
+        last_answer_at: time of the last successful call.
     """
 
     def __init__(
@@ -139,59 +144,62 @@
 
     @property
     def version(self) -> versions.Version:
-        """Version of the store up to which the table was read."""
+        """Version of the store as of which the table was read."""
         return self._version
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow the table until cancelled."""
         while True:
             while self._version != versions.NEVER and self._is_idle():
                 self._outage.record_answer(self)
                 await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
-            found = await self._read()
-            if isinstance(found, errors.Failure):
-                await self._record_failure(found)
+            result = await self._read()
+            if isinstance(result, errors.Failure):
+                await self._record_failure(result)
                 continue
             self._record_success()
-            if found.rows:
+            if result.rows:
                 await asyncio.sleep(self._batch_delay)
 
     async def _read(self) -> stores.Rows | errors.Failure:
         if self._version == versions.NEVER:
             return await self._read_all()
-        # After a failure, ask whether the store is back, and do not wait.
+        # After a failure, probe the store with a call that returns at once.
         wait = 0.0 if self._is_failing else LONG_POLL_S
         after = self._version.number
-        found = await self._store.changes(self._table, after, wait)
-        if isinstance(found, errors.Failure):
-            if found.reason is errors.HISTORY_GONE:
-                _log.info('History gone, reading again.', table=self._table)
+        result = await self._store.changes(self._table, after, wait)
+        if isinstance(result, errors.Failure):
+            if result.reason is errors.HISTORY_GONE:
+                _log.info(
+                    'Store history expired; reading the whole table.',
+                    table=self._table,
+                )
                 self._version = versions.NEVER
-            return found
-        if found.era != self._version.era:
+            return result
+        if result.era != self._version.era:
             _log.info(
-                'Store restored, reading again.',
+                'Store restored; reading the whole table.',
                 table=self._table,
                 before=self._version.era,
-                era=found.era,
+                era=result.era,
             )
             return await self._read_all()
-        self._version = max(self._version, found.version)
-        if found.rows:
-            self._on_changed_rows(found.rows, found.version)
-        return found
+        self._version = max(self._version, result.version)
+        if result.rows:
+            self._on_changed_rows(result.rows, result.version)
+        return result
 
     async def _read_all(self) -> stores.Rows | errors.Failure:
-        found = await self._store.rows(self._table)
-        if not isinstance(found, errors.Failure):
-            self._version = found.version
-            self._on_all_rows(found.rows, found.version)
-        return found
+        result = await self._store.rows(self._table)
+        if not isinstance(result, errors.Failure):
+            self._version = result.version
+            self._on_all_rows(result.rows, result.version)
+        return result
 
     def _record_success(self) -> None:
         if self._is_failing:
             _log.info(
-                'Store regained.',
+                'Store connection recovered.',
                 table=self._table,
                 away=clock.now() - self._failed_at,
             )
--- a/galenahatch/test/test_stops.py
+++ b/galenahatch/test/test_stops.py
@@ -265,8 +265,8 @@
         time.sleep(0.5)
         second = await reader.read(1000)
         writer.close()
-        await server.drain(is_late=False)
-        assert await server.drain(is_late=True)
+        await server.drain(refuse_new=False)
+        assert await server.drain(refuse_new=True)
         return second
 
     with asyncio.Runner(loop_factory=_LOOPS[loop]) as runner:
@@ -289,7 +289,7 @@
                 await asyncio.sleep(0.1)
                 assert caller.recv(1000).endswith(b'answered')
             caller.sendall(_REQUEST)
-            while not await server.drain(is_late=False):
+            while not await server.drain(refuse_new=False):
                 await asyncio.sleep(0.01)
             caller.settimeout(1.0)
             return caller.recv(1000)
