--- a/galenahatch/gateway/context.py
+++ b/galenahatch/gateway/context.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What the courses of requests work with, and how they end."""
+"""Components shared by all requests, and their deadlines and results."""
 
 import dataclasses
 import typing
@@ -31,22 +31,22 @@
 from galenahatch import tasks
 
 _MIN_RETRY_AFTER_S: typing.Final = 0.05
-"""Shortest time after which a refused caller is asked to come back."""
+"""Shortest delay in seconds after which a refused caller may retry."""
 
 _MIN_PATIENCE_S: typing.Final = 2.0
 _PATIENCE_OBJECTIVES: typing.Final = 4.0
 _PATIENCE_PAUSES: typing.Final = 8.0
-"""Callers leave a stream that is silent for the longest of: these seconds,
-these objectives, these pauses."""
+"""Callers abandon a stream without events after the longest of: this many
+seconds, multiples of the objective, and multiples of the longest pause."""
 
 _TIMER_TOLERANCE_S: typing.Final = 0.01
-"""Seconds by which a timer of the event loop may be early; it counts from
-the last time that the loop looked at the clock."""
+"""Seconds by which a timer of the event loop may fire early, since the loop
+counts from its last reading of the clock."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Context:
-    """Shared by all requests of a process."""
+    """Components shared by all requests of a process."""
 
     directory: directories.Directory
     sender: senders.Sender
@@ -62,31 +62,31 @@
 
 @dataclasses.dataclass(frozen=True)
 class CompleteAnswer:
-    """A whole answer of an upstream."""
+    """A complete answer of an upstream."""
 
     head: calls.AnswerHead
     body: bytes
 
 
 class Sink(typing.Protocol):
-    """Where a stream goes: the caller's connection."""
+    """Destination of a stream: the caller's connection."""
 
     @property
     def is_head_sent(self) -> bool:
-        """Whether the caller has had the head of the answer."""
+        """Whether the head of the answer has been sent."""
         ...
 
     async def send_head(self, head: calls.AnswerHead) -> None:
-        """Send the head."""
+        """Send the head of the answer."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send whole events."""
+        """Send complete events."""
         ...
 
 
 def answer_deadline(call: calls.Call, route: routes.Route) -> float:
-    """Return the moment at which a request must be answered."""
+    """Return the time by which a request must be answered."""
     patience = route.timeout
     if call.patience is not None:
         patience = min(patience, call.patience)
@@ -94,7 +94,7 @@
 
 
 def abandonment_time(call: calls.Call, route: routes.Route) -> float:
-    """Return the moment at which a caller leaves without a first event."""
+    """Return the time at which a caller without a first event gives up."""
     patience = max(
         _MIN_PATIENCE_S,
         _PATIENCE_OBJECTIVES * route.objective,
@@ -104,22 +104,22 @@
 
 
 def priority(call: calls.Call, route: routes.Route) -> int:
-    """Return how urgent a request is; that of its customer goes first."""
+    """Return the customer's priority for a request, else the route's."""
     return route.priority if call.priority is None else call.priority
 
 
-def seconds_until(moment: float) -> float:
-    """Return the seconds until a moment."""
-    return moment - clock.now()
+def seconds_until(time: float) -> float:
+    """Return the seconds until a time; negative if it has passed."""
+    return time - clock.now()
 
 
-def has_passed(moment: float) -> bool:
-    """Return whether a moment has come; timers may fire a little early."""
-    return seconds_until(moment) <= _TIMER_TOLERANCE_S
+def has_passed(time: float) -> bool:
+    """Return whether a time has come, allowing for early timers."""
+    return seconds_until(time) <= _TIMER_TOLERANCE_S
 
 
 def retryable_failure(
     reason: errors.Reason, detail: str, retry_after: float
 ) -> errors.Failure:
-    """Return a failure that tells when to come back."""
+    """Return a failure with the delay in seconds after which to retry."""
     return errors.Failure(reason, detail, max(_MIN_RETRY_AFTER_S, retry_after))
--- a/galenahatch/gateway/frames.py
+++ b/galenahatch/gateway/frames.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Messages between gateways as bytes: a version, then the message."""
+"""Encoding of messages between gateways: a version byte, then MessagePack."""
 
 import typing
 
@@ -21,6 +21,7 @@
 
 _VERSION: typing.Final = 1
 _MAX_BYTES: typing.Final = 4 * 1024 * 1024
+"""Largest frame that is accepted."""
 
 AnyMessage = (
     messages.Heartbeat
@@ -54,12 +55,12 @@
 
 
 def encode(message: AnyMessage) -> bytes:
-    """Return the frame of a message."""
+    """Encode a message as a frame."""
     return _VERSION_PREFIX + _ENCODER.encode(message)
 
 
 def decode(frame: bytes) -> AnyMessage | errors.Failure:
-    """Return the message of a frame, or why there is none."""
+    """Decode a frame; return a failure if it is invalid."""
     if not frame or len(frame) > _MAX_BYTES:
         return errors.Failure(errors.BAD_FRAME, f'{len(frame)} bytes')
     if frame[0] != _VERSION:
--- a/galenahatch/gateway/instruments.py
+++ b/galenahatch/gateway/instruments.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Counters and histograms of the gateway, in the text format of scrapers.
+"""Metrics of the gateway in the Prometheus text format.
 
-Instruments are OpenTelemetry's. A scrape reads them once; nothing is sent
-on its own. Labels are bounded: reasons, kinds and some customers, never ids
-or routes.
+The instruments are those of OpenTelemetry. Metrics are read by scrapes and
+never pushed. The number of label values is bounded: reasons, kinds and some
+customers, but no ids or routes.
 """
 
 import typing
@@ -39,7 +39,8 @@
     6.0,
     15.0,
 )
-"""Bounds of the latency histograms, around the users' objectives."""
+"""Bucket bounds in seconds of the latency histograms, which are dense around
+the latency objectives."""
 
 _reader = export.InMemoryMetricReader()
 _provider = sdk.MeterProvider(
@@ -122,7 +123,7 @@
     description='Times that a plain call found no room, by upstream.',
 )
 GaugeCallback = typing.Callable[[], typing.Mapping[str, float]]
-"""Returns the value of each upstream that has one."""
+"""Returns the values of a gauge by upstream."""
 _gauge_callbacks: dict[str, GaugeCallback] = {}
 
 
@@ -163,22 +164,23 @@
 )
 
 
-def register_gauge(name: str, gauge: GaugeCallback) -> None:
-    """Show what a function returns as one of the gauges by upstream."""
-    _gauge_callbacks[name] = gauge
+def register_gauge(name: str, callback: GaugeCallback) -> None:
+    """Set the function that returns the values of a gauge by upstream."""
+    _gauge_callbacks[name] = callback
 
 
 def set_global_provider() -> None:
-    """Count here what is counted outside this package as well.
+    """Make metrics defined outside this package part of these metrics.
 
-    That is, for one, the bytes between gateways (`bus`). Other programs load
-    this module too and export theirs elsewhere, so it is no matter of import.
+    One example is the bytes sent between gateways (`bus`). This is not done
+    on import, since other programs also import this module but export their
+    metrics elsewhere.
     """
     api.set_meter_provider(_provider)
 
 
 def render() -> str:
-    """Return all instruments in the text format."""
+    """Return all metrics in the text format."""
     data = _reader.get_metrics_data()
     lines: list[str] = []
     if data is None:
@@ -192,9 +194,9 @@
 
 def _metric_lines(metric: typing.Any) -> list[str]:
     points = list(metric.data.data_points)
-    histogram = bool(points) and hasattr(points[0], 'bucket_counts')
-    gauge = isinstance(metric.data, export.Gauge)
-    kind = 'histogram' if histogram else 'gauge' if gauge else 'counter'
+    is_histogram = bool(points) and hasattr(points[0], 'bucket_counts')
+    is_gauge = isinstance(metric.data, export.Gauge)
+    kind = 'histogram' if is_histogram else 'gauge' if is_gauge else 'counter'
     name = metric.name.replace('.', '_')
     if kind == 'counter':
         name += '_total'
@@ -203,7 +205,7 @@
         f'# TYPE {name} {kind}',
     ]
     for point in points:
-        if histogram:
+        if is_histogram:
             lines.extend(_histogram_lines(name, point))
         else:
             lines.append(
@@ -214,12 +216,12 @@
 
 def _histogram_lines(name: str, point: typing.Any) -> list[str]:
     lines = []
-    total = 0
+    cumulative = 0
     bounds = [str(bound) for bound in point.explicit_bounds] + ['+Inf']
     for bound, count in zip(bounds, point.bucket_counts, strict=True):
-        total += count
+        cumulative += count
         labels = _label_text({**point.attributes, 'le': bound})
-        lines.append(f'{name}_bucket{labels} {total}')
+        lines.append(f'{name}_bucket{labels} {cumulative}')
     labels = _label_text(point.attributes)
     lines.append(f'{name}_sum{labels} {point.sum}')
     lines.append(f'{name}_count{labels} {point.count}')
--- a/galenahatch/gateway/lease.py
+++ b/galenahatch/gateway/lease.py
@@ -10,20 +10,20 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The lease on orders, and the fencing numbers of those who hold it.
-
-The lease is a row in the platform's store with its holder and the moment,
-on the store's clock, at which another gateway may take it; its version is
-the fencing number, so a later holder always has a higher one. A holder
-gives orders in the first quarter of its lease only, counted from before it
-asked. So two holders never order within the time that the platform asks for
-between them, also if one of them was frozen meanwhile.
-
-A store that comes back from an older copy may have lost the row of a holder
-that still gives orders, has another clock perhaps, and gives its versions out
-again. So a row counts in the era only in which it was written. Whoever finds
-none of the newest era writes one that nobody holds, and that lapses as a lease
-does; fencing numbers begin with the era.
+"""The lease on orders to engines, with fencing tokens.
+
+The lease is a row in the platform's store. It names the holder and the time,
+by the store's clock, after which another gateway may acquire the lease. The
+version of the row is the fencing token, so a later holder always has a higher
+one. A holder gives orders only in the first quarter of its lease, counted
+from before its request. So orders of two holders are always separated by the
+interval that the platform requires, even if one of them was suspended.
+
+A store restored from an older copy may have lost the row of a holder that
+still gives orders, may have a different clock, and reissues its versions. So
+a row is valid only in the era in which it was written. A gateway that finds
+no row of the newest era writes one without a holder, which expires like a
+lease; the era forms the high bits of fencing tokens.
 """
 
 import typing
@@ -41,30 +41,30 @@
 _KEY: typing.Final = 'orders'
 _NO_HOLDER: typing.Final = ''
 _LENGTH_RATIO: typing.Final = 2.0
-"""Length of our lease, in those that the platform asks for."""
+"""Length of the lease as a multiple of the platform's interval."""
 _USABLE_RATIO: typing.Final = 0.5
-"""Part of the platform's lease in which its holder gives orders."""
+"""Part of the platform's interval in which a holder may give orders."""
 _VERSION_BITS: typing.Final = 40
-"""Bits of a fencing number that count versions within an era: enough for
-decades of writes."""
+"""Bits of a fencing token for the version within an era, enough for decades
+of writes."""
 _log = logs.Log('lease')
 
 
 def fencing_number(version: versions.Version) -> int:
-    """Return the fencing number of a version; it rises as versions do."""
+    """Return the fencing token of a version; it increases with the version."""
     return (version.era << _VERSION_BITS) + version.number
 
 
-def current_holder(found: stores.Rows) -> str:
-    """Return who holds the lease at the moment of a reading, or nobody."""
-    _, lease = _find_lease(found)
-    if lease is None or found.now_ms > lease.until_ms:
+def current_holder(rows: stores.Rows) -> str:
+    """Return the holder of the lease as of a read; empty if there is none."""
+    _, lease = _find_lease(rows)
+    if lease is None or rows.now_ms > lease.until_ms:
         return ''
     return lease.holder
 
 
 class LeaseStore(typing.Protocol):
-    """The part of the store that the lease needs."""
+    """The operations of the store that the lease needs."""
 
     async def rows(
         self, table: str, part: str = ''
@@ -78,16 +78,17 @@
         put: typing.Sequence[stores.Entry] = (),
         remove: typing.Sequence[stores.Entry] = (),
     ) -> stores.Written | stores.Conflict | errors.Failure:
-        """Apply a transaction, all of it or nothing."""
+        """Apply a transaction atomically."""
         ...
 
 
 class _Row(msgspec.Struct, frozen=True):
-    """The row.
+    """Value of the lease's row.
 
     Attributes:
-        until_ms: on the store's clock.
-        era: of the store.
+        holder: gateway that holds the lease; empty if there is none.
+        until_ms: time of expiry in milliseconds, by the store's clock.
+        era: era of the store in which the row was written.
     """
 
     holder: str
@@ -95,29 +96,30 @@
     era: int = 0
 
 
-def _find_lease(found: stores.Rows) -> tuple[int, _Row | None]:
-    """Return the number of the row, 0 if there is none, and the lease.
+def _find_lease(rows: stores.Rows) -> tuple[int, _Row | None]:
+    """Return the version number of the lease's row, and the lease.
 
-    There is no lease if the row can't be read or is of another era.
+    The number is 0 if there is no row. The lease is None if the row is
+    missing, invalid or of another era.
     """
-    row = next((row for row in found.rows if row.key == _KEY), None)
+    row = next((row for row in rows.rows if row.key == _KEY), None)
     if row is None:
         return 0, None
     try:
         lease = msgspec.json.decode(row.value, type=_Row)
     except msgspec.MsgspecError as error:
-        _log.error('Bad lease row.', error=str(error))
+        _log.error('Invalid lease row.', error=str(error))
         return row.ver, None
-    return row.ver, lease if lease.era == found.era else None
+    return row.ver, lease if lease.era == rows.era else None
 
 
 class Lease:
-    """One gateway's way to the lease.
+    """Acquires the lease for one gateway.
 
     Args:
-        store: holds the row.
-        me: this gateway.
-        seconds: between the orders of two holders.
+        store: store with the lease's row.
+        own_id: id of this gateway.
+        fencing_interval: seconds required between orders of two holders.
     """
 
     def __init__(
@@ -128,74 +130,81 @@
         self._fencing_interval = fencing_interval
 
     async def acquire(self) -> int | None:
-        """Return a fencing number, if an order may be given with it now."""
-        until = clock.now() + _USABLE_RATIO * self._fencing_interval
+        """Acquire or renew the lease; return a fencing token if it is usable.
+
+        Returns:
+            The fencing token, or None if no order may be given now.
+        """
+        deadline = clock.now() + _USABLE_RATIO * self._fencing_interval
         fence = await self._acquire()
-        return fence if clock.now() <= until else None
+        return fence if clock.now() <= deadline else None
 
     async def begin_era(self) -> None:
-        """Begin the leases of the newest era, if nobody has.
+        """Write the first row of the newest era if there is none.
 
-        Done ahead of the first order, which would have to wait otherwise.
+        This is done before the first order, which would otherwise have to
+        wait for the row to expire.
         """
-        found = await self._read()
-        if found is None or not found.era:
+        rows = await self._read()
+        if rows is None or not rows.era:
             return
-        number, lease = _find_lease(found)
+        number, lease = _find_lease(rows)
         if lease is None:
-            await self._write_unheld(found, number)
+            await self._write_unheld(rows, number)
 
     async def _acquire(self) -> int | None:
-        found = await self._read()
-        if found is None:
+        rows = await self._read()
+        if rows is None:
             return None
-        number, lease = _find_lease(found)
-        if lease is None and found.era:
-            await self._write_unheld(found, number)
+        number, lease = _find_lease(rows)
+        if lease is None and rows.era:
+            await self._write_unheld(rows, number)
             return None
-        if lease is not None and not self._is_free(lease, found.now_ms):
+        if lease is not None and not self._is_free(lease, rows.now_ms):
             return None
-        written = await self._write(self._own_id, found, number)
+        written = await self._write(self._own_id, rows, number)
         if written is None:
-            _log.warning('Lease not taken.', holder=self._own_id)
+            _log.warning('Could not acquire the lease.', holder=self._own_id)
             return None
         fence = fencing_number(written)
         _log.info('Lease taken.', holder=self._own_id, fence=fence)
         return fence
 
-    async def _write_unheld(self, found: stores.Rows, number: int) -> None:
-        """Write a row that nobody holds.
+    async def _write_unheld(self, rows: stores.Rows, number: int) -> None:
+        """Write a row without a holder.
 
-        Who held the lease before the restore gives no more orders by the
-        time at which it lapses.
+        By the time it expires, a holder from before the restore no longer
+        gives orders.
         """
-        if await self._write(_NO_HOLDER, found, number) is not None:
-            _log.info('Leases of an era begun.', era=found.era)
+        if await self._write(_NO_HOLDER, rows, number) is not None:
+            _log.info(
+                'Initialized the lease for a new store era.', era=rows.era
+            )
 
     async def _read(self) -> stores.Rows | None:
-        found = await self._store.rows(TABLE)
-        if isinstance(found, errors.Failure):
-            _log.warning('Lease not read.', detail=found.detail)
+        rows = await self._store.rows(TABLE)
+        if isinstance(rows, errors.Failure):
+            _log.warning('Could not read the lease.', detail=rows.detail)
             return None
-        return found
+        return rows
 
     async def _write(
-        self, name: str, found: stores.Rows, number: int
+        self, holder: str, rows: stores.Rows, number: int
     ) -> versions.Version | None:
-        """Replace the row as it was found; return its version if that is done.
+        """Replace the row if it is unchanged; return the new version or None.
 
-        What is written in another era than it was read in replaces some other
-        row, and counts for nothing: it names the era of the reading.
+        A write in a later era than the read may replace a different row. It
+        has no effect, since the new row names the era of the read.
         """
-        until = found.now_ms + _LENGTH_RATIO * self._fencing_interval * 1000
-        value = msgspec.json.encode(_Row(name, until, found.era))
+        until_ms = rows.now_ms + _LENGTH_RATIO * self._fencing_interval * 1000
+        value = msgspec.json.encode(_Row(holder, until_ms, rows.era))
         written = await self._store.transact(
             [stores.Entry(TABLE, _KEY, ver=number)],
             put=[stores.Entry(TABLE, _KEY, value=value)],
         )
         if not isinstance(written, stores.Written):
             return None
-        return written.version if written.era == found.era else None
+        return written.version if written.era == rows.era else None
 
     def _is_free(self, lease: _Row, now_ms: float) -> bool:
         return lease.holder == self._own_id or now_ms > lease.until_ms
