--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -47,7 +47,7 @@
 from galenahatch import timeouts
 
 _STARTUP_S: typing.Final = 2.0
-"""Seconds in which others that were ended at the same time are back."""
+"""Seconds in which members that were stopped at the same time restart."""
 _log = logs.Log('mesh')
 
 CODEC: typing.Final = bus.Codec[frames.AnyMessage](
@@ -58,7 +58,7 @@
     messages.StageChangeRequest,
     messages.PermitRequest,
 )
-"""Messages that a gateway may send before its first beat."""
+"""Messages that a gateway may send before its first heartbeat."""
 Handler = collections.abc.Callable[[ids.MemberId, frames.AnyMessage], None]
 
 
@@ -82,17 +82,17 @@
 
 
 class Mesh:
-    """The members, and the connections to those that matter.
+    """The members, and connections to the owner and its candidates.
 
     Args:
         store: the platform's store.
-        address: of this VM.
-        port: where this gateway listens for others.
-        data_centre: of this VM.
-        directory: what this gateway knows.
-        exchanges: what gateways tell each other.
-        handler: called with each message and the member that sent it.
-        background: where its tasks run.
+        address: IP address of this VM.
+        port: port for connections of other gateways.
+        data_centre: data centre of this VM.
+        directory: local copy of the configuration and upstreams.
+        exchanges: components whose state is exchanged.
+        handler: function called with the sender and message.
+        background: runner of background tasks.
     """
 
     def __init__(
@@ -152,11 +152,11 @@
 
     @property
     def size(self) -> int:
-        """Members with a row, this one included."""
+        """Number of members with a row, including this one."""
         return self._members.size
 
     def run(self) -> None:
-        """Join, and start to talk."""
+        """Join, and start to exchange heartbeats."""
         self._tasks.keep('join', self._roster.join)
         self._tasks.keep('member feed', self._roster.feed.run)
         self._tasks.keep('listening', self._watch_event_loop)
@@ -173,7 +173,7 @@
             link.close()
 
     def owner(self) -> ids.MemberId:
-        """Return the first member that answers; this one in the end."""
+        """Return the first member that answers, or else this one."""
         return self._set_owner(self._members.owner(self.leaving, clock.now()))
 
     def is_live(self, name: ids.MemberId) -> bool:
@@ -181,16 +181,16 @@
         return name == self.me or self._members.is_live(name, clock.now())
 
     def member_reaching_store(self) -> ids.MemberId | None:
-        """Return another member that hears the store, if there is one."""
+        """Return another member that reaches the store, if there is one."""
         return self._members.hearing(clock.now())
 
     def suspect(self, name: ids.MemberId) -> None:
-        """Count a member as away until it is heard again."""
+        """Treat a member as unreachable until it sends a message."""
         self._members.suspect(name)
         _log.warning('Member suspected.', member=name)
 
     def send(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
-        """Send a message; lost if the member is away."""
+        """Send a message, which is lost if the member is unreachable."""
         if name in self._members.known:
             self._link(name).send(message)
 
@@ -210,14 +210,14 @@
     async def _watch_event_loop(self) -> None:
         suspension = clock.Suspension()
         while True:
-            suspended = suspension.look()
-            if suspended:
-                limits = timeouts.catch_up(suspended)
-                _log.warning('Suspended.', seconds=suspended, limits=limits)
-            stalled = self._members.listen(clock.now())
-            if stalled:
+            suspended_s = suspension.look()
+            if suspended_s:
+                limits = timeouts.catch_up(suspended_s)
+                _log.warning('Suspended.', seconds=suspended_s, limits=limits)
+            stalled_s = self._members.listen(clock.now())
+            if stalled_s:
                 instruments.stalls.add(1)
-                _log.warning('Stalled.', seconds=stalled)
+                _log.warning('Stalled.', seconds=stalled_s)
             await asyncio.sleep(members.LISTEN_EVERY)
 
     async def _send_heartbeats(self) -> None:
@@ -247,11 +247,11 @@
         )
         if self._members.owner(self.leaving, now) == self.me:
             self._exchange.decides()
-            part = self._reachable_share(now)
+            share = self._reachable_share(now)
         else:
-            part = 1.0
-        self._accounts.decides_for(part)
-        self._rate_limits.decides_for(part)
+            share = 1.0
+        self._accounts.decides_for(share)
+        self._rate_limits.decides_for(share)
         self.tell_owner(message)
 
     def _reachable_share(self, now: float) -> float:
@@ -265,19 +265,19 @@
         return self._members.part_heard(now)
 
     def tell_owner(self, message: frames.AnyMessage) -> None:
-        """Send to the owner and whoever may be the next one."""
+        """Send a message to the owner and the candidates to succeed it."""
         now = clock.now()
-        live = 0
+        live_count = 0
         for name in self._members.ordered():
-            if live >= rosters.OWNER_CANDIDATES:
+            if live_count >= rosters.OWNER_CANDIDATES:
                 break
-            live += name == self.me or self._members.is_live(name, now)
+            live_count += name == self.me or self._members.is_live(name, now)
             if name != self.me:
                 self._link(name).send(message)
 
-    def _announce(self, told: tuple[messages.Suspicion, ...]) -> None:
-        """Tell the owner at once, who tells all."""
-        message = messages.Suspicions(told)
+    def _announce(self, new: tuple[messages.Suspicion, ...]) -> None:
+        """Send suspicions to the owner, which sends them to all members."""
+        message = messages.Suspicions(new)
         if self._owner == self.me:
             for name in self._peers:
                 self.reply(name, message)
@@ -285,7 +285,7 @@
             self.tell_owner(message)
 
     def _announce_usage(self, used: tuple[messages.QuotaUse, ...]) -> None:
-        """Tell the owner, and the next one, at once what was used here."""
+        """Report use of quotas to the owner and the candidates at once."""
         self.tell_owner(messages.QuotaUsage(used))
 
     def _close_link(self, name: ids.MemberId) -> None:
@@ -363,23 +363,26 @@
     def _record_heartbeat(
         self,
         name: ids.MemberId,
-        beat: messages.Heartbeat | messages.HeartbeatReply,
+        heartbeat: messages.Heartbeat | messages.HeartbeatReply,
     ) -> None:
-        """Take what a member tells of itself."""
-        order = messages.order_version(beat)
-        self._roster.record_versions(order, messages.upstreams_version(beat))
+        """Record the state of a member."""
+        order = messages.order_version(heartbeat)
+        self._roster.add_versions(order, messages.upstreams_version(heartbeat))
         self._members.heard(
-            name, clock.now(), beat.leaving, beat.incarnation, order
+            name, clock.now(), heartbeat.leaving, heartbeat.incarnation, order
         )
-        feeds = beat.reaches_store and self._update_requester.is_current(beat)
-        self._members.told_store(name, feeds)
+        delivers_changes = (
+            heartbeat.reaches_store
+            and self._update_requester.is_current(heartbeat)
+        )
+        self._members.told_store(name, delivers_changes)
 
     def _record_peer(self, name: ids.MemberId, peer: bus.Peer) -> None:
-        """Remember by which connection a member can be answered."""
-        before = self._peers.get(name)
-        if before != peer:
-            if before is not None:
-                self._member_ids.pop(before, None)
+        """Record the connection on which replies reach a member."""
+        old_peer = self._peers.get(name)
+        if old_peer != peer:
+            if old_peer is not None:
+                self._member_ids.pop(old_peer, None)
             self._peers[name] = peer
             self._member_ids[peer] = name
 
@@ -387,15 +390,15 @@
         self,
         name: ids.MemberId,
         message: frames.AnyMessage,
-        answer: collections.abc.Callable[
+        reply: collections.abc.Callable[
             [ids.MemberId, frames.AnyMessage], None
         ],
     ) -> None:
         self._members.heard(name, clock.now())
         if isinstance(message, messages.UpdateRequest):
-            news = self._directory.update_for(message)
-            if news is not None:
-                answer(name, news)
+            update = self._directory.update_for(message)
+            if update is not None:
+                reply(name, update)
         elif isinstance(message, messages.Update):
             self._directory.apply_update(message)
         elif isinstance(message, messages.Suspicions):
@@ -407,20 +410,20 @@
         elif isinstance(message, messages.QuotaUsage):
             self._accounts.take(message.used)
             levels = self._accounts.levels(message.used)
-            answer(name, messages.QuotaLevels(levels))
+            reply(name, messages.QuotaLevels(levels))
         elif isinstance(message, messages.QuotaLevels):
             self._accounts.hear(message.levels)
         else:
             self._handler(name, message)
 
     def _request_update(
-        self, beat: messages.Heartbeat | messages.HeartbeatReply
+        self, heartbeat: messages.Heartbeat | messages.HeartbeatReply
     ) -> None:
-        """Ask for what a member knows and this one does not."""
-        ask = self._update_requester.request_for(beat)
-        if ask is None:
+        """Request newer data from a member that has it."""
+        request = self._update_requester.request_for(heartbeat)
+        if request is None:
             return
-        if isinstance(beat, messages.Heartbeat):
-            self.reply(beat.member, ask)
+        if isinstance(heartbeat, messages.Heartbeat):
+            self.reply(heartbeat.member, request)
         else:
-            self.send(beat.member, ask)
+            self.send(heartbeat.member, request)
--- a/galenahatch/gateway/messages.py
+++ b/galenahatch/gateway/messages.py
@@ -12,12 +12,13 @@
 
 """Messages between gateways.
 
-Every gateway may ask any other to decide for it; the one asked is called
-the owner here. Field order is the wire order: new fields go at the end with
-a default, so that neighbouring versions can talk while one is replaced by
-the other. Durations are seconds; moments are told as ages or as time left,
-since the clocks of two VMs can't be compared. A version of the store goes
-as two numbers, the era of it being 0 where a sender does not know eras.
+Any gateway may request a decision from any other, which is called the owner
+here. Field order is the wire order: new fields go at the end with a default,
+so that adjacent versions can communicate during an update. Durations are in
+seconds. Points in time are sent as ages or as remaining time, since the clocks
+of two VMs can't be compared. A version of the store is sent as two numbers;
+its era is 0 if the sender doesn't know eras. Renamed classes keep their old
+name as the tag.
 """
 
 import msgspec
@@ -29,15 +30,18 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of every message."""
+    """Base class of all messages."""
 
 
 class RunningGeneration(msgspec.Struct, frozen=True, array_like=True):
-    """A generation that runs at a decode engine.
+    """A generation that is running on a decode engine.
 
     Attributes:
-        since: seconds since its first event; negative until then.
-        made: tokens that its engine has made so far.
+        prompt_tokens: tokens of its prompt.
+        expected_tokens: predicted tokens of its answer.
+        max_tokens: upper limit of the tokens of its answer.
+        first_event_age: seconds since its first event; negative until then.
+        tokens_generated: tokens that its engine has generated so far.
     """
 
     stream: ids.StreamId
@@ -51,7 +55,7 @@
 
 
 class Outcomes(msgspec.Struct, frozen=True, array_like=True):
-    """What sends to a plain upstream came to; the newest count most."""
+    """Decaying counts of sends to a plain upstream and of their failures."""
 
     upstream: ids.UpstreamId
     sends: float
@@ -59,12 +63,12 @@
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a request that may end upstreams.
+    """State of a request that may end upstreams.
 
     Attributes:
-        ends: numbers of the upstreams that ended under it.
-        age: seconds since its last end, or since it was cleared.
-        cleared: whether it ran whole.
+        ends: numbers of the upstreams that ended while processing it.
+        age: seconds since the last such end, or since it was cleared.
+        cleared: whether it has run to completion.
     """
 
     digest: ids.RequestDigest
@@ -74,38 +78,39 @@
 
 
 class QuotaUse(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway counted of a customer since its last beat."""
+    """Units that a customer used at a gateway since its last heartbeat."""
 
     customer: ids.CustomerName
     units: float
 
 
 class QuotaLevel(msgspec.Struct, frozen=True, array_like=True):
-    """What a customer may still use now; a debt if negative."""
+    """Units that a customer may still use now; negative for a debt."""
 
     customer: ids.CustomerName
     units: float
 
 
 class Heartbeat(Message, frozen=True, array_like=True, tag='Beat'):
-    """A sign of life, with all that its sender runs.
+    """A heartbeat, with the state of its sender.
 
     Attributes:
-        member: the sender.
-        incarnation: random number of its process.
-        config: version of the configuration in force there.
-        upstreams: version of the store up to which it knows upstreams.
-        leaving: whether it stops.
-        held: what it runs.
-        outcomes: of its sends since the last beat.
-        order: version of its row in the store, 0 until it has one.
-        hears_store: whether its sender follows the store without trouble.
-        suspicions: that changed of late, and of the rest some in turn.
-        used: of customers' quotas since the last beat.
-        rate_limits: that upstreams name, or have lifted of late.
-        leaving_upstreams: that have said so in an answer of late.
-        era: of `upstreams`.
-        order_era: of `order`.
+        member: sender of the message.
+        incarnation: random number of the sender's process.
+        config_version: version of the sender's configuration.
+        upstreams_version: version of the store as of which the sender knows
+            upstreams.
+        leaving: whether the sender is stopping.
+        running: generations that the sender is running.
+        outcomes: results of the sender's sends since its last heartbeat.
+        order: version of the sender's row in the store; 0 until it has one.
+        reaches_store: whether the sender follows the store.
+        suspicions: recently changed ones, and some of the others in turn.
+        used: use of customers' quotas since the last heartbeat.
+        rate_limits: limits that upstreams announce or have recently lifted.
+        leaving_upstreams: upstreams whose answers recently announced this.
+        era: era of `upstreams_version`.
+        order_era: era of `order`.
     """
 
     member: ids.MemberId
@@ -126,20 +131,13 @@
 
 
 class HeartbeatReply(Message, frozen=True, array_like=True, tag='BeatBack'):
-    """The answer to a beat.
+    """Reply to a heartbeat, with fields as there except for:
 
     Attributes:
-        hears_store: whether its sender follows the store without trouble.
-        members: gateways that it knows of.
-        figures: of each service that it decides for.
-        outcomes: of the sends of all gateways that beat to it.
-        order: version of its row in the store, 0 until it has one.
-        suspicions: that changed of late, and of the rest some in turn.
-        low: customers that are short.
-        rate_limits: that upstreams name, or have lifted of late.
-        leaving_upstreams: that have said so in an answer of late.
-        era: of `upstreams`.
-        order_era: of `order`.
+        member_count: number of gateways that the sender knows.
+        figures: measurements of each service that the sender decides for.
+        outcomes: results of sends of all gateways that send it heartbeats.
+        low_quotas: levels of customers whose quota is nearly used up.
     """
 
     member: ids.MemberId
@@ -161,22 +159,22 @@
 
 
 class PlacementRequest(Message, frozen=True, array_like=True, tag='Place'):
-    """Asks for engines for a generation.
+    """Requests engines for a generation.
 
     Attributes:
-        hint: the caller's estimate of the answer's tokens, 0 for none.
-        is_read: whether a prefill engine holds the prompt's result.
-        start_within: seconds until its first event must have been made.
-        end_within: seconds until its answer must be whole.
-        leave_within: seconds until the caller leaves without a first event.
-        longest_pause: seconds that may lie between two of its events.
+        length_hint: caller's estimate of the answer's tokens; 0 for none.
+        is_prefilled: whether a prefill engine holds the prompt's KV cache.
+        first_event_within: seconds until the first event must be generated.
+        end_within: seconds until the answer must be complete.
+        leave_within: seconds until a caller without a first event gives up.
+        longest_pause: most seconds allowed between two events.
         attempt: number of this attempt of the request, from 1.
-        extra: sends beyond the first that it will make if it is placed.
-        is_suspect: whether an engine ended under it lately.
-        customer: that it counts for, or empty.
-        units: of the customer's quota that it counts as.
-        priority: 0 is the most urgent.
-        paused: engines that want nothing from this gateway now.
+        extra_sends: sends beyond the first that will be made if it is placed.
+        is_suspect: whether an engine recently ended while processing it.
+        customer: customer whose quota is charged; may be empty.
+        units: units of the quota that are charged.
+        priority: priority of the request; 0 is the most urgent.
+        pauses: pauses that engines have requested from the sender.
     """
 
     stream: ids.StreamId
@@ -204,17 +202,17 @@
 
 
 class Queued(Message, frozen=True, array_like=True, tag=True):
-    """The owner has a request and decides later."""
+    """Confirms that the owner has queued a placement request."""
 
     stream: ids.StreamId
 
 
 class Placement(Message, frozen=True, array_like=True, tag='PlacedAt'):
-    """The engines of a generation.
+    """Assigns engines to a generation.
 
     Attributes:
-        prefill: empty if the prompt is not read apart.
-        output: predicted tokens of the answer.
+        prefill: prefill engine; empty if the decode engine does the prefill.
+        expected_tokens: predicted tokens of the answer.
     """
 
     stream: ids.StreamId
@@ -225,10 +223,11 @@
 
 
 class PlacementRefused(Message, frozen=True, array_like=True, tag='GivenUp'):
-    """There is no room in time; come back after some seconds.
+    """Refuses a placement request for lack of capacity or quota.
 
     Attributes:
-        is_over_quota: whether its customer has used its quota.
+        retry_after: seconds after which the caller may retry.
+        is_over_quota: whether the customer's quota is used up.
     """
 
     stream: ids.StreamId
@@ -238,19 +237,19 @@
 
 
 class Declined(Message, frozen=True, array_like=True, tag=True):
-    """The owner does not decide any more: ask another one."""
+    """Declines a request, since the receiver is no longer the owner."""
 
     stream: ids.StreamId
 
 
 class Withdraw(Message, frozen=True, array_like=True, tag=True):
-    """A request no longer wants engines."""
+    """Withdraws a placement request."""
 
     stream: ids.StreamId
 
 
 class Prefilled(Message, frozen=True, array_like=True, tag=True):
-    """A prompt was read, in some seconds."""
+    """Reports the duration of a prefill."""
 
     stream: ids.StreamId
     service: ids.ServiceName
@@ -259,21 +258,21 @@
 
 
 class Started(Message, frozen=True, array_like=True, tag=True):
-    """The first event of a stream came."""
+    """Reports the first event of a stream."""
 
     stream: ids.StreamId
     service: ids.ServiceName
 
 
 class Release(Message, frozen=True, array_like=True, tag=True):
-    """A generation has ended at its engines.
+    """Releases the engines of a generation that has ended.
 
     Attributes:
-        tokens: of the answer; 0 if it broke off.
-        seconds: from its first event to its last.
-        failed: engines that may be at fault.
-        unreachable: engine that nothing could be sent to, or empty.
-        fetched: prefill engine whose result was taken over, or empty.
+        tokens: tokens of the answer; 0 if it was interrupted.
+        seconds: seconds from the first to the last event.
+        failed: engines that may have caused a failure.
+        unreachable: engine that could not be reached, or empty.
+        kv_source: prefill engine whose KV cache was transferred, or empty.
     """
 
     stream: ids.StreamId
@@ -286,42 +285,42 @@
 
 
 class QuotaRefund(Message, frozen=True, array_like=True, tag='GivenBack'):
-    """A generation that was counted for a customer has not run."""
+    """Refunds the quota charged for a generation that has not run."""
 
     customer: ids.CustomerName
     units: float
 
 
 class QuotaUsage(Message, frozen=True, array_like=True, tag='Spent'):
-    """Tells what customers used, ahead of the next beat."""
+    """Reports use of quotas before the next heartbeat."""
 
     used: tuple[QuotaUse, ...]
 
 
 class QuotaLevels(Message, frozen=True, array_like=True, tag='Left'):
-    """The answer: what is left to them."""
+    """Reply to `QuotaUsage`: the remaining quotas."""
 
     levels: tuple[QuotaLevel, ...]
 
 
 class RateLimits(Message, frozen=True, array_like=True, tag=True):
-    """Tells what upstreams have said of it, ahead of the next beat."""
+    """Reports rate limits of upstreams before the next heartbeat."""
 
     limits: tuple[records.RateLimit, ...]
 
 
 class LeavingUpstreams(Message, frozen=True, array_like=True, tag='Leaving'):
-    """Tells of upstreams that leave, ahead of the next beat."""
+    """Reports upstreams that are leaving before the next heartbeat."""
 
     upstreams: tuple[ids.UpstreamId, ...]
 
 
 class PermitRequest(Message, frozen=True, array_like=True, tag='Permit'):
-    """Asks for one request to an upstream that names a rate limit.
+    """Requests permission for one request to a rate-limited upstream.
 
     Attributes:
-        number: of this question.
-        limit: as the sender knows it; a new owner may not have heard of it.
+        number: number of this message, which the reply repeats.
+        limit: rate limit known to the sender; a new owner may not know it.
     """
 
     member: ids.MemberId
@@ -330,10 +329,10 @@
 
 
 class PermitReply(Message, frozen=True, array_like=True, tag='Permitted'):
-    """The answer.
+    """Reply to `PermitRequest`.
 
     Attributes:
-        wait: seconds until there is room; 0 if the request may be sent.
+        wait: seconds until there is capacity; 0 if the request may be sent.
     """
 
     number: int
@@ -341,7 +340,7 @@
 
 
 class StageChangeRequest(Message, frozen=True, array_like=True, tag='Change'):
-    """Asks a gateway that hears the store to order a change of stage."""
+    """Requests a stage order from a gateway that reaches the store."""
 
     member: ids.MemberId
     engine: ids.UpstreamId
@@ -349,7 +348,7 @@
 
 
 class StageChangeReply(Message, frozen=True, array_like=True, tag='Changed'):
-    """What came of it: whether the engine may be changing now."""
+    """Reply that says whether the engine may be changing its stage."""
 
     engine: ids.UpstreamId
     stage: upstreams.Stage
@@ -357,16 +356,16 @@
 
 
 class Suspicions(Message, frozen=True, array_like=True, tag=True):
-    """Tells of requests that may end upstreams, ahead of the next beat."""
+    """Reports requests that may end upstreams before the next heartbeat."""
 
     suspicions: tuple[Suspicion, ...]
 
 
 class UpdateRequest(Message, frozen=True, array_like=True, tag='Ask'):
-    """Asks for what is newer than the sender's versions.
+    """Requests data newer than the sender's versions.
 
     Attributes:
-        era: of `upstreams`.
+        era: era of `upstreams_version`.
     """
 
     config_version: int
@@ -378,8 +377,8 @@
     """An upstream's row in the store.
 
     Attributes:
-        ver: version of the store at its last change.
-        document: empty if the row is gone.
+        version: version of the store at the last change.
+        document: value of the row; empty if it was removed.
     """
 
     key: str
@@ -388,16 +387,15 @@
 
 
 class Update(Message, frozen=True, array_like=True, tag='News'):
-    """What a gateway knows.
+    """Reply to `UpdateRequest` with newer data.
 
     Attributes:
-        config: compressed document, empty if the asker's is as new.
-        after: version of the store from which on rows are told.
-        upstreams: version of the store up to which rows are told.
-        rows: of upstreams that changed in between.
-        is_whole: whether they are all that there are, and what is not among
-            them is gone.
-        era: of both versions; for the older one only if not all is told.
+        config: compressed configuration; empty if the receiver's is current.
+        after: version of the store after which rows are included.
+        upstreams_version: version of the store as of which rows are included.
+        rows: upstreams that changed in between.
+        is_complete: whether these are all rows; others have been removed.
+        era: era of both versions; of `after` only if not complete.
     """
 
     config: bytes
@@ -409,12 +407,12 @@
 
 
 def order_version(message: Heartbeat | HeartbeatReply) -> versions.Version:
-    """Return the place in the order that the sender of a message tells."""
+    """Return the version of the sender's row, which orders the members."""
     return versions.Version(message.order_era, message.order)
 
 
 def upstreams_version(
     message: Heartbeat | HeartbeatReply | UpdateRequest | Update,
 ) -> versions.Version:
-    """Return the version up to which the sender of a message knows."""
+    """Return the version as of which the sender knows upstreams."""
     return versions.Version(message.era, message.upstreams_version)
--- a/galenahatch/gateway/notices.py
+++ b/galenahatch/gateway/notices.py
@@ -11,11 +11,12 @@
 # under the License.
 
 
-"""What upstreams' answers say of the next requests, besides their rate.
+"""Notices in answers of upstreams, besides rate limits.
 
-An upstream that leaves says so in its answers, which may be long before the
-store tells. Gateways tell each other: the owner at once, who tells all. One
-that turns a request away may ask for a pause.
+An upstream that is leaving says so in its answers, possibly long before its
+entry in the store shows it. Gateways forward this notice to the owner at once,
+and the owner to all others. An upstream that refuses a request may ask for a
+pause.
 """
 
 import typing
@@ -32,24 +33,25 @@
 from galenahatch import logs
 
 _LOG_INTERVAL_S: typing.Final = 1.0
-"""Seconds between two lines of a kind on one upstream."""
+"""Minimum number of seconds between two equal log lines for an upstream."""
 _ANNOUNCE_S: typing.Final = 60.0
-"""Seconds for which gateways tell that an upstream leaves; it has left then,
-or each gateway that it answers has heard it itself."""
+"""Seconds for which gateways announce a leaving upstream. By then it has left,
+or has itself notified every gateway that uses it."""
 _MAX_ANNOUNCED: typing.Final = 32
-"""Upstreams in one message, the latest ones."""
+"""Most upstreams in one message; the latest ones are kept."""
 _log = logs.Log('notices')
 
 
 class Notices:
-    """What answers to this gateway, and to others, have said.
+    """Notices in answers to this gateway and to others.
 
     Args:
-        directory: upstreams, those among them that leave.
+        directory: list of upstreams, in which those that leave are marked.
 
     Attributes:
-        pauses: that upstreams have asked this gateway for.
-        tell_owner: sends a message to the owner, and who may be the next.
+        pauses: pauses that upstreams have requested from this gateway.
+        tell_owner: function that sends a message to the owner and the
+            candidates to succeed it.
     """
 
     def __init__(self, directory: directories.Directory) -> None:
@@ -73,11 +75,14 @@
         sent_at: float,
         head: calls.AnswerHead,
     ) -> None:
-        """Take the head of an answer."""
+        """Record the notices in the head of an answer."""
         for value in (head.leaving, head.pause):
             if isinstance(value, errors.Failure):
                 self._log_limited(
-                    upstream, 'Bad notice ignored.', head, detail=value.detail
+                    upstream,
+                    'Ignored an invalid notice.',
+                    head,
+                    detail=value.detail,
                 )
         if head.leaving is True and self._record_leaving(upstream):
             self._log_limited(upstream, 'Upstream says that it leaves.', head)
@@ -87,61 +92,66 @@
         if isinstance(head.pause, float):
             self.pauses.begin(upstream, head.pause, clock.now())
             self._log_limited(
-                upstream, 'Pause asked for.', head, seconds=head.pause
+                upstream,
+                'Upstream requested a pause.',
+                head,
+                seconds=head.pause,
             )
 
     def pause_seconds_left(self, upstream: ids.UpstreamId) -> float:
-        """Return the seconds for which an upstream wants nothing from here."""
+        """Return the seconds until an upstream's pause ends; 0 without one."""
         return self.pauses.left(upstream, clock.now())
 
     def pauses_left(self) -> dict[ids.UpstreamId, float]:
-        """Return the seconds that are left of each pause."""
+        """Return the seconds until the end of each pause."""
         return self.pauses.active(clock.now())
 
     def _record_leaving(self, upstream: ids.UpstreamId) -> bool:
-        """Send an upstream no more; return whether that is news."""
+        """Mark an upstream as leaving; return whether that is a change."""
         if not self._directory.mark_leaving(upstream):
             return False
         self._leaving_since[upstream] = clock.now()
         return True
 
     def leaving_upstreams(self) -> tuple[ids.UpstreamId, ...]:
-        """Return the upstreams that have said that they leave."""
+        """Return the upstreams that have announced that they are leaving."""
         return tuple(self._leaving_since)[-_MAX_ANNOUNCED:]
 
     def merge(self, leaving: tuple[ids.UpstreamId, ...]) -> None:
-        """Take what another gateway tells."""
+        """Add leaving upstreams that another gateway reports."""
         for upstream in leaving:
             if self._record_leaving(upstream):
-                _log.info('Upstream leaves, by a peer.', upstream=upstream)
+                _log.info(
+                    'A peer reports a leaving upstream.', upstream=upstream
+                )
 
     def _log_limited(
         self,
         upstream: ids.UpstreamId,
-        sentence: str,
+        message: str,
         head: calls.AnswerHead,
         **fields: typing.Any,
     ) -> None:
         now = clock.now()
-        key = upstream, sentence
+        key = upstream, message
         if now - self._logged_at.get(key, -_LOG_INTERVAL_S) < _LOG_INTERVAL_S:
             return
         self._logged_at[key] = now
-        _log.info(sentence, upstream=upstream, request=head.request, **fields)
+        _log.info(message, upstream=upstream, request=head.request, **fields)
 
     def _leaving_seconds(self) -> dict[str, float]:
         now = clock.now()
-        found = [(key, now - at) for key, at in self._leaving_since.items()]
-        return dict(found[-_MAX_ANNOUNCED:])
+        ages = [(key, now - at) for key, at in self._leaving_since.items()]
+        return dict(ages[-_MAX_ANNOUNCED:])
 
     def _paused_seconds(self) -> dict[str, float]:
         return dict(list(self.pauses_left().items())[:_MAX_ANNOUNCED])
 
     def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
-        """Drop what is long ago, and upstreams that are gone."""
+        """Discard expired announcements and data of removed upstreams."""
         now = clock.now()
-        for upstream, told_at in list(self._leaving_since.items()):
-            if now - told_at > _ANNOUNCE_S:
+        for upstream, since in list(self._leaving_since.items()):
+            if now - since > _ANNOUNCE_S:
                 del self._leaving_since[upstream]
-        for old in [key for key in self._logged_at if key[0] not in known]:
-            del self._logged_at[old]
+        for key in [key for key in self._logged_at if key[0] not in known]:
+            del self._logged_at[key]
--- a/galenahatch/gateway/records.py
+++ b/galenahatch/gateway/records.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What messages between gateways carry; see `messages` for the rules."""
+"""Structures within messages between gateways; see `messages` for rules."""
 
 import msgspec
 
@@ -18,11 +18,11 @@
 
 
 class RateLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What an upstream said of the rate of requests that it takes.
+    """Rate limit that an upstream has announced.
 
     Attributes:
-        rate: requests a second; None if it names no limit any more.
-        age: seconds since that was so.
+        rate: requests per second; None if the limit was lifted.
+        age: seconds since the announcement.
     """
 
     upstream: ids.UpstreamId
@@ -31,19 +31,20 @@
 
 
 class Figures(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner has measured of a service; a new one begins with it.
+    """Measurements of a service by its owner, from which a new owner starts.
 
     Attributes:
-        rate: prompt tokens a second of a prefill engine.
-        prompt: mean tokens of a prompt.
-        output: mean tokens of an answer.
-        pace: seconds for a token.
-        seen: requests that were measured.
-        delay: seconds that a prefill takes besides reading.
-        alone: part of the delay in which the engine reads nothing else.
-        reads: prefills that were measured.
+        rate: prompt tokens per second of a prefill engine.
+        prompt: mean number of tokens of a prompt.
+        output: mean number of tokens of an answer.
+        pace: seconds per output token.
+        seen: number of requests measured.
+        delay: seconds of a prefill besides processing the prompt.
+        alone: part of the delay in which the engine processes no other prompt.
+        reads: number of prefills measured.
         slack: seconds from the end of a prefill to the first event.
-        pairs: prompts that told whether the engine had read within the delay.
+        pairs: number of prompts that showed whether the engine had processed
+            another one within the delay.
     """
 
     service: ids.ServiceName
@@ -60,10 +61,10 @@
 
 
 class Paused(msgspec.Struct, frozen=True, array_like=True):
-    """An engine that wants nothing from the gateway that tells this.
+    """A pause that an engine has requested from the sending gateway.
 
     Attributes:
-        left: seconds that are left of the pause.
+        seconds_left: seconds until the pause ends.
     """
 
     upstream: ids.UpstreamId
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -147,7 +147,7 @@
             for name in first
         )
 
-    def record_versions(
+    def add_versions(
         self, order: versions.Version, upstreams: versions.Version
     ) -> None:
         """Note which versions a member knows of.
--- a/galenahatch/gateway/updates.py
+++ b/galenahatch/gateway/updates.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Questions to peers for what they know and this gateway does not."""
+"""Requests to peers for newer configuration and upstreams."""
 
 import typing
 
@@ -19,41 +19,42 @@
 from galenahatch.gateway import messages
 
 _REQUEST_INTERVAL_S: typing.Final = 0.6
-"""Seconds between two questions for news. A configuration of 350 routes
-takes a slow link that long for all members; asked for with each beat, it
-filled the owner's queue until nobody heard it any more."""
+"""Minimum number of seconds between two requests. Sending a configuration of
+350 routes to all members takes that long on a slow link. When it was requested
+with every heartbeat, the owner's send queue filled up and its heartbeats were
+no longer received."""
 
 
 class UpdateRequester:
-    """Decides when to ask a peer.
+    """Decides when to request an update from a peer.
 
     Args:
-        directory: what this gateway knows.
+        directory: local copy of the configuration and upstreams.
     """
 
     def __init__(self, directory: directories.Directory) -> None:
         self._directory = directory
-        self._asked_at = -1e9
+        self._requested_at = -1e9
 
     def request_for(
-        self, beat: messages.Heartbeat | messages.HeartbeatReply
+        self, heartbeat: messages.Heartbeat | messages.HeartbeatReply
     ) -> messages.UpdateRequest | None:
-        """Return what to ask the sender of a beat, if it knows more."""
+        """Return the request to send if a member has newer data, else None."""
         config = self._directory.config_version
-        known = self._directory.upstreams_version
-        told = messages.upstreams_version(beat)
-        if beat.config_version <= config and told <= known:
+        version = self._directory.upstreams_version
+        peer_version = messages.upstreams_version(heartbeat)
+        if heartbeat.config_version <= config and peer_version <= version:
             return None
-        if clock.now() - self._asked_at < _REQUEST_INTERVAL_S:
+        if clock.now() - self._requested_at < _REQUEST_INTERVAL_S:
             return None
-        self._asked_at = clock.now()
-        return messages.UpdateRequest(config, known.number, known.era)
+        self._requested_at = clock.now()
+        return messages.UpdateRequest(config, version.number, version.era)
 
     def is_current(
-        self, beat: messages.Heartbeat | messages.HeartbeatReply
+        self, heartbeat: messages.Heartbeat | messages.HeartbeatReply
     ) -> bool:
-        """Return whether the sender of a beat knows the era known here.
+        """Return whether a member knows the newest era known here.
 
-        News of an earlier era tell nothing.
+        Data of an earlier era is useless.
         """
-        return beat.era >= self._directory.upstreams_version.era
+        return heartbeat.era >= self._directory.upstreams_version.era
