--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -12,14 +12,16 @@
 
 """Orders to engines to change their stage.
 
-The owner decides on orders. Who gives them holds a lease in the store
-(`gateway/lease`): the owner itself, or, while it alone can't reach the
-store, another gateway that it asks. Without that, a service was divided
-wrongly for a whole day, since its owner was cut off as it first looked.
-
-Nothing is believed of an order before the engine's entry tells the new
-stage. Each order names the number of orders that the engine has taken, as
-just read from it, so a delayed one that arrives after another is refused.
+The owner decides on orders. They are sent by the holder of a lease in the
+store (`gateway/lease`): the owner itself or, if only the owner can't reach the
+store, another gateway at its request. Without this, the engines of a service
+had the wrong stages for a whole day, since its owner was disconnected from the
+store when it made its first plan.
+
+An order has no effect on the gateway's view until the engine's entry shows
+the new stage. Each order includes the number of orders that the engine has
+accepted, as just read from it, so a delayed order that arrives after another
+one is refused.
 """
 
 import asyncio
@@ -44,28 +46,30 @@
 from galenahatch import tasks
 
 _CHECK_INTERVAL_S: typing.Final = 0.5
+"""Seconds between two checks for engines that should change."""
 _CALL_TIMEOUT_S: typing.Final = 0.6
 _ORDER_TIMEOUT_S: typing.Final = 8.0
-"""Seconds beyond the change itself after which an order counts as lost;
-runs of the engine are finished before it changes."""
+"""Seconds beyond the duration of a change after which an order counts as lost.
+An engine finishes its running requests before it changes."""
 _MAYBE_ACCEPTED: typing.Final = frozenset((0, 200, 202))
-"""Statuses after which an engine may be changing; 0 if there was none."""
+"""Statuses after which an engine may be changing; 0 means no answer."""
 _RETRY_DELAY_S: typing.Final = 3.0
+"""Seconds without orders after a failed one."""
 _log = logs.Log('orders')
 
 
 class Orders:
-    """The part of a gateway that gives orders.
+    """Sends orders to engines.
 
     Args:
-        store: holds the lease.
-        mesh: tells who is the owner.
-        owner: tells which engines should change.
-        directory: tells how long a change takes.
-        sender: for calls to engines.
-        notices: which engines want no calls now.
-        lease: seconds between the orders of two holders.
-        background: where its tasks run.
+        store: store with the lease.
+        mesh: membership, which determines the owner.
+        owner: decisions, which determine the engines that should change.
+        directory: services, with the duration of a change.
+        sender: sender of calls to engines.
+        notices: pauses that engines have requested.
+        lease: seconds required between orders of two holders.
+        background: runner of background tasks.
     """
 
     def __init__(
@@ -91,7 +95,7 @@
         self._lease_era = 0
 
     def run(self) -> None:
-        """Start to give orders whenever this gateway is the owner."""
+        """Start sending orders whenever this gateway is the owner."""
         self._tasks.keep('orders', self._run)
 
     async def _run(self) -> None:
@@ -101,20 +105,22 @@
             if self._mesh.owner() != self._mesh.me or now < self._retry_at:
                 continue
             await self._begin_lease_era()
-            for service, found in list(self._owner.dispatchers.items()):
-                for engine, stage in found.changes(now):
+            for service, dispatcher in list(self._owner.dispatchers.items()):
+                for engine, stage in dispatcher.changes(now):
                     _log.info(
                         'Change wanted.',
                         engine=engine.id,
                         stage=stage.value,
-                        prefills=len(found.engines.prefills),
-                        decodes=len(found.engines.decodes),
-                        **found.measured._asdict(),
+                        prefills=len(dispatcher.engines.prefills),
+                        decodes=len(dispatcher.engines.decodes),
+                        **dispatcher.measured._asdict(),
+                    )
+                    await self._request_change(
+                        service, dispatcher, engine, stage
                     )
-                    await self._request_change(service, found, engine, stage)
 
     async def _begin_lease_era(self) -> None:
-        """Let the leases of an era begin as soon as it is heard of."""
+        """Initialize the lease of a new store era as soon as it is known."""
         era = self._store.eras.newest
         if era == self._lease_era:
             return
@@ -126,7 +132,7 @@
         member: ids.MemberId,
         message: messages.StageChangeRequest | messages.StageChangeReply,
     ) -> None:
-        """Take what another gateway asks for, or what came of it."""
+        """Handle a request for a stage change, or the reply to one."""
         if isinstance(message, messages.StageChangeRequest):
             self._tasks.once(self._send_for_peer(member, message))
             return
@@ -137,16 +143,18 @@
                 self._cancel_change(dispatcher, message.engine, message.stage)
 
     async def _send_for_peer(
-        self, member: ids.MemberId, wanted: messages.StageChangeRequest
+        self, member: ids.MemberId, request: messages.StageChangeRequest
     ) -> None:
-        """Give an order that another gateway decided on."""
-        engine = self._directory.registry.find(wanted.engine)
-        ordered = False
+        """Send an order on behalf of another gateway."""
+        engine = self._directory.registry.find(request.engine)
+        is_ordered = False
         if engine is not None:
-            ordered = await self._send_if_possible(engine, wanted.stage)
+            is_ordered = await self._send_if_possible(engine, request.stage)
         self._mesh.reply(
             member,
-            messages.StageChangeReply(wanted.engine, wanted.stage, ordered),
+            messages.StageChangeReply(
+                request.engine, request.stage, is_ordered
+            ),
         )
 
     async def _request_change(
@@ -156,18 +164,20 @@
         engine: upstreams.Upstream,
         stage: upstreams.Stage,
     ) -> None:
-        """Have one engine changed, and leave it alone meanwhile."""
+        """Request a stage change, and mark the engine as changing."""
         spec = self._directory.service(service)
         if spec is None or spec.engine is None:
             return
         lost_at = clock.now() + spec.engine.switch + _ORDER_TIMEOUT_S
         dispatcher.engines.changing(engine.id, stage, lost_at)
-        other = self._mesh.member_reaching_store()
-        if other is not None and not self._directory.reaches_store:
-            _log.info('Order passed on.', engine=engine.id, member=other)
+        peer = self._mesh.member_reaching_store()
+        if peer is not None and not self._directory.reaches_store:
+            _log.info(
+                'Forwarded an order to a peer.', engine=engine.id, member=peer
+            )
             me = self._mesh.me
             self._mesh.send(
-                other, messages.StageChangeRequest(me, engine.id, stage)
+                peer, messages.StageChangeRequest(me, engine.id, stage)
             )
         elif not await self._send_if_possible(engine, stage):
             self._cancel_change(dispatcher, engine.id, stage)
@@ -178,7 +188,7 @@
         engine: ids.UpstreamId,
         stage: upstreams.Stage,
     ) -> None:
-        """Use an engine as it is, and plan again after a while."""
+        """Use an engine in its current stage, and plan again after a delay."""
         dispatcher.engines.changing(engine, stage, clock.now())
         dispatcher.division.plan_again()
         self._retry_at = clock.now() + _RETRY_DELAY_S
@@ -186,14 +196,14 @@
     async def _send_if_possible(
         self, engine: upstreams.Upstream, stage: upstreams.Stage
     ) -> bool:
-        """Give an order; return whether the engine may be changing now."""
+        """Send an order; return whether the engine may be changing now."""
         if self._notices.pause_seconds_left(engine.id):
-            _log.info('Order put off.', engine=engine.id, why='paused')
+            _log.info('Postponed an order.', engine=engine.id, why='paused')
             return False
         report = await self._read_report(engine)
-        why = _postponement_reason(engine, report)
-        if report is None or why:
-            _log.info('Order put off.', engine=engine.id, why=why)
+        reason = _postponement_reason(engine, report)
+        if report is None or reason:
+            _log.info('Postponed an order.', engine=engine.id, why=reason)
             return False
         fence = await self._lease.acquire()
         if fence is None:
@@ -206,10 +216,12 @@
         engine: upstreams.Upstream,
         stage: upstreams.Stage,
         fence: int,
-        taken: int,
+        accepted: int,
     ) -> int:
         """Send an order; return its status, 0 if there was no answer."""
-        order = engines.stage_order(stage.value, self._mesh.me, fence, taken)
+        order = engines.stage_order(
+            stage.value, self._mesh.me, fence, accepted
+        )
         reply = await self._sender.small(
             'POST',
             engine.address,
@@ -225,7 +237,7 @@
             engine=engine.id,
             stage=stage.value,
             fence=fence,
-            expected=taken,
+            expected=accepted,
             status=status,
         )
         return status
@@ -245,11 +257,12 @@
 def _postponement_reason(
     engine: upstreams.Upstream, report: engines.Report | None
 ) -> str:
-    """Return why an engine gets no order now; empty if it may get one."""
+    """Return why an engine must not get an order now, or an empty string."""
     if report is None:
         return 'no report'
     if not report.is_of(engine.id):
-        # It counts its orders anew: the order would be checked against the
-        # count of a start that nobody has planned with.
+        # A restarted engine counts its orders from 0 again, so the order
+        # would be checked against the count of a process that the plan
+        # doesn't include.
         return 'started again'
     return 'busy' if report.busy else ''
--- a/galenahatch/gateway/program.py
+++ b/galenahatch/gateway/program.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The program: settings in, gateway up, exit code out.
+"""Runs the gateway as a program.
 
-The command-line library of the other programs is not loaded here: the one
-setting is where the settings file is, and each VM pays for its memory.
+The command-line library of the other programs is not loaded, since the path
+of the settings file is the only option and each VM would pay for its memory.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 
 
 def main() -> int:
-    """Run the gateway until it is told to stop; return the exit code."""
+    """Run the gateway until a signal stops it; return the exit code."""
     path = deployment.path()
     settings = deployment.load(path)
     if isinstance(settings, errors.Failure):
@@ -67,27 +67,27 @@
 def _install_signal_handlers(
     loop: asyncio.AbstractEventLoop, gateway: node.Gateway
 ) -> None:
-    """Begin a stop at the first signal, and let no later one cut it short.
+    """Shut down on the first signal, and ignore later ones during shutdown.
 
-    The library of services gives signals back to the system as it begins to
-    stop, and the loop does as it is closed; any signal after that would end
-    the process, and break every call that runs.
+    The service library restores the default handlers when it begins to stop,
+    and so does the event loop when it is closed. A signal after that would end
+    the process and interrupt all running calls.
     """
-    work = {
+    handlers = {
         signal.SIGTERM: gateway.begin_shutdown,
         signal.SIGINT: gateway.begin_shutdown,
         signal.SIGHUP: gateway.reload,
     }
 
-    def take(number: int, frame: object) -> None:
+    def handle(number: int, frame: object) -> None:
         if not loop.is_closed():
-            loop.call_soon_threadsafe(work[signal.Signals(number)])
+            loop.call_soon_threadsafe(handlers[signal.Signals(number)])
 
-    for number in work:
-        signal.signal(number, take)
+    for number in handlers:
+        signal.signal(number, handle)
 
 
 def _ignore_signals() -> None:
-    """Let none of them end a process that is about to end by itself."""
+    """Ignore signals, since the process is about to exit by itself."""
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -10,15 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Keeps requests that end upstreams from the upstreams that are left.
-
-A send whose connection breaks off under a request that had just begun may
-have ended its upstream. It has if nobody listens at its address right after:
-a connection that was reset, an answer that was lost or a way that was cut
-leave an upstream that still listens, or one that says nothing at all. What
-is seen is told to the other gateways with the beats (`core/quarantine`), and
-the owner writes what must last into the store, where gateways that start
-together find it.
+"""Blocks requests that end upstreams, to protect the other upstreams.
+
+If the connection of a send breaks soon after the upstream began the request,
+the request may have ended the upstream. It has if connections to the address
+are refused right afterwards: after a connection reset, a lost answer or a
+network failure, the upstream still listens or doesn't respond at all. Gateways
+exchange what they observe in heartbeats (`core/quarantine`). The owner writes
+lasting entries into the store, from which gateways that start at the same time
+load them.
 """
 
 import asyncio
@@ -40,11 +40,12 @@
 from galenahatch.platform import store as stores
 
 ROW_PREFIX: typing.Final = 'quarantine/'
-"""Of the keys of rows. They stand in the table of the gateways, whose feed
-brings them without a call of their own."""
+"""Prefix of the keys of rows. They are in the table of gateways, whose feed
+delivers them without extra calls."""
 _SAVE_INTERVAL_S: typing.Final = 0.5
+"""Seconds between two writes of changes to the store."""
 _MAX_ROWS_PER_TRANSACTION: typing.Final = 16
-"""Rows in one transaction."""
+"""Limits the written rows, and the removed rows, of one transaction."""
 _log = logs.Log('quarantine')
 
 
@@ -52,11 +53,11 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """A row in the store.
+    """Value of a request's row in the store.
 
     Attributes:
-        ends: numbers of the upstreams that ended under the request.
-        released: whether it ran whole, or an operator lets it through.
+        ends: numbers of the upstreams that ended while processing it.
+        released: whether it ran to completion or an operator released it.
     """
 
     ends: tuple[int, ...] = ()
@@ -64,25 +65,25 @@
 
 
 def decode(row: stores.Row) -> Entry | None:
-    """Return what a row tells; None if it can't be read."""
+    """Decode a row; return None if it is invalid."""
     try:
         return msgspec.json.decode(row.value, type=Entry)
     except msgspec.MsgspecError as error:
-        _log.error('Bad row.', key=row.key, error=str(error))
+        _log.error('Invalid quarantine row.', key=row.key, error=str(error))
         return None
 
 
 class Guard:
-    """This gateway's part of it.
+    """Applies the quarantine to the requests of this gateway.
 
     Args:
-        sender: asks whether an upstream still listens.
-        store: keeps what must last.
-        table: of the rows.
+        sender: sender, which checks whether an upstream still listens.
+        store: store for lasting entries.
+        table: table of their rows.
 
     Attributes:
-        announce: tells others at once; beats are slow where there are many
-            gateways.
+        announce: function that sends changes to other gateways at once, since
+            heartbeats are infrequent with many gateways.
     """
 
     def __init__(
@@ -94,22 +95,22 @@
         self._quarantine = quarantine.Quarantine()
         self._blocked: frozenset[ids.RequestDigest] = frozenset()
         self._stored: dict[ids.RequestDigest, Entry] = {}
-        self.announce: Announce = lambda told: None
+        self.announce: Announce = lambda suspicions: None
 
-    # What courses ask and tell.
+    # Checks and reports of requests.
 
     def is_blocked(self, call: calls.Call) -> bool:
-        """Return whether a request may not go to an upstream."""
+        """Return whether a request must not be sent to upstreams."""
         return bool(self._blocked) and call.digest in self._blocked
 
     def is_suspect(self, call: calls.Call) -> bool:
-        """Return whether an upstream ended under a request lately."""
+        """Return whether an upstream recently ended during a request."""
         return not self._quarantine.is_empty and self._quarantine.is_suspect(
             call.digest
         )
 
     def failure(self, call: calls.Call) -> errors.Failure:
-        """Return what the caller of a held request is told."""
+        """Return the failure for the caller of a blocked request."""
         ends = self._quarantine.ends(call.digest)
         detail = f'{ends} engines ended; digest {call.digest}'
         return errors.Failure(errors.ENDS_ENGINES, detail)
@@ -117,7 +118,7 @@
     async def record_cut(
         self, call: calls.Call, upstream: upstreams.Upstream
     ) -> None:
-        """Note that a send broke off soon after its upstream began it."""
+        """Record that a send was interrupted soon after the upstream began it."""
         if not await self._sender.refuses(upstream):
             return
         self._quarantine.ended(call.digest, upstream.id, clock.now())
@@ -133,7 +134,7 @@
         self.announce(self.suspicions())
 
     def record_completion(self, call: calls.Call) -> None:
-        """Note that a request ran whole."""
+        """Record that a request ran to completion."""
         if self._quarantine.is_empty:
             return
         if self._quarantine.served(call.digest, clock.now()):
@@ -141,124 +142,134 @@
             self._update_blocked()
             self.announce(self.suspicions())
 
-    # What gateways tell each other.
+    # Exchange with other gateways.
 
     def suspicions(self) -> tuple[messages.Suspicion, ...]:
-        """Return what goes into a beat, or the answer to one."""
+        """Return the suspicions for a heartbeat or a reply to one."""
         if self._quarantine.is_empty:
             return ()
         return tuple(
-            messages.Suspicion(one.digest, one.ends, one.age, one.cleared)
-            for one in self._quarantine.tell(clock.now())
+            messages.Suspicion(item.digest, item.ends, item.age, item.cleared)
+            for item in self._quarantine.tell(clock.now())
         )
 
     def merge(
-        self, told: collections.abc.Iterable[messages.Suspicion]
+        self, suspicions: collections.abc.Iterable[messages.Suspicion]
     ) -> None:
-        """Add what another gateway knows."""
+        """Merge suspicions of another gateway."""
         self._merge(
-            quarantine.Suspicion(one.digest, one.ends, one.age, one.cleared)
-            for one in told
+            quarantine.Suspicion(
+                item.digest, item.ends, item.age, item.cleared
+            )
+            for item in suspicions
         )
 
     def _merge(
-        self, told: collections.abc.Iterable[quarantine.Suspicion]
+        self, suspicions: collections.abc.Iterable[quarantine.Suspicion]
     ) -> None:
-        self._quarantine.hear(told, clock.now())
+        self._quarantine.hear(suspicions, clock.now())
         self._update_blocked()
 
     def _update_blocked(self) -> None:
-        """Take the verdicts, and log those that are new."""
-        held = self._quarantine.held
-        if held == self._blocked:
+        """Update the blocked requests, and log the changes."""
+        blocked = self._quarantine.held
+        if blocked == self._blocked:
             return
-        for digest in held - self._blocked:
+        for digest in blocked - self._blocked:
             ends = self._quarantine.ends(digest)
             _log.warning('Request held back.', digest=digest, ends=ends)
-        for digest in self._blocked - held:
+        for digest in self._blocked - blocked:
             _log.info('Request let through again.', digest=digest)
-        self._blocked = held
+        self._blocked = blocked
         self.announce(self.suspicions())
 
-    # What outlives all gateways.
+    # Persistent entries.
 
     def begin_snapshot(self) -> None:
-        """Begin to take all rows that are stored.
+        """Prepare for a new list of all stored rows.
 
-        A store that comes back from an older copy may have lost some: the
-        owner writes them again.
+        A store restored from an older copy may have lost rows, which the
+        owner writes again.
         """
         self._stored.clear()
 
     def apply_row(self, row: stores.Row) -> None:
-        """Take a row of the store.
+        """Apply a row of the store.
 
-        A row that is gone was forgotten by the owner, and is here as well
-        when its time has come.
+        A removed row had expired at the owner, and expires here as well.
         """
         digest = ids.RequestDigest(row.key.removeprefix(ROW_PREFIX))
         if row.removed:
             self._stored.pop(digest, None)
             return
-        found = decode(row)
-        if found is None:
+        stored = decode(row)
+        if stored is None:
             return
-        self._stored[digest] = found
+        self._stored[digest] = stored
         self._merge(
-            [quarantine.Suspicion(digest, found.ends, cleared=found.released)]
+            [
+                quarantine.Suspicion(
+                    digest, stored.ends, cleared=stored.released
+                )
+            ]
         )
 
-    async def run(self, decides: collections.abc.Callable[[], bool]) -> None:
-        """Forget what is old, and store what must last.
+    async def run(self, is_owner: collections.abc.Callable[[], bool]) -> None:
+        """Discard expired entries, and store lasting ones.
 
         Args:
-            decides: whether this gateway is the owner, who writes.
+            is_owner: function that returns whether this gateway is the owner,
+                which writes rows.
         """
         while True:
             self._quarantine.forget(clock.now())
             self._update_blocked()
-            if decides():
+            if is_owner():
                 await self._save()
             await asyncio.sleep(_SAVE_INTERVAL_S)
 
     async def _save(self) -> None:
-        """Write what is new into the store, and remove what was forgotten."""
-        new, gone = self._unsaved()
-        if not new and not gone:
+        """Write new entries to the store, and remove expired ones."""
+        new, expired = self._unsaved()
+        if not new and not expired:
             return
         put = [
             stores.Entry(
                 self._table,
                 ROW_PREFIX + digest,
-                value=msgspec.json.encode(made),
+                value=msgspec.json.encode(entry),
             )
-            for digest, made in new.items()
+            for digest, entry in new.items()
         ]
         remove = [
-            stores.Entry(self._table, ROW_PREFIX + digest) for digest in gone
+            stores.Entry(self._table, ROW_PREFIX + digest)
+            for digest in expired
         ]
         result = await self._store.transact(put=put, remove=remove)
         if not isinstance(result, stores.Written):
-            _log.warning('Not stored yet.', rows=len(put) + len(remove))
+            _log.warning(
+                'Could not store quarantine entries yet.',
+                rows=len(put) + len(remove),
+            )
             return
         self._stored.update(new)
-        for digest in gone:
+        for digest in expired:
             self._stored.pop(digest, None)
 
     def _unsaved(
         self,
     ) -> tuple[dict[ids.RequestDigest, Entry], list[ids.RequestDigest]]:
-        """Return rows to write and to remove, as many as go at once."""
+        """Return rows to write and remove in one transaction."""
         lasting = {
-            one.digest: Entry(one.ends, one.cleared)
-            for one in self._quarantine.lasting(clock.now())
+            item.digest: Entry(item.ends, item.cleared)
+            for item in self._quarantine.lasting(clock.now())
         }
         new = [
-            (digest, made)
-            for digest, made in lasting.items()
-            if self._stored.get(digest) != made
+            (digest, entry)
+            for digest, entry in lasting.items()
+            if self._stored.get(digest) != entry
         ]
-        gone = [digest for digest in self._stored if digest not in lasting]
-        return dict(new[:_MAX_ROWS_PER_TRANSACTION]), gone[
+        expired = [digest for digest in self._stored if digest not in lasting]
+        return dict(new[:_MAX_ROWS_PER_TRANSACTION]), expired[
             :_MAX_ROWS_PER_TRANSACTION
         ]
