--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -118,7 +118,7 @@
     async def record_cut(
         self, call: calls.Call, upstream: upstreams.Upstream
     ) -> None:
-        """Record that a send was interrupted soon after the upstream began it."""
+        """Record that a send broke off soon after the upstream began it."""
         if not await self._sender.refuses(upstream):
             return
         self._quarantine.ended(call.digest, upstream.id, clock.now())
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -12,13 +12,14 @@
 
 """The rows of members in the store.
 
-Each gateway writes one row at its start, and the version that the store gives
-the write is its place in the order (`core/members`). Those first in the order
-follow the store; all others hear of changes from them.
-
-A row may be lost, with a store that comes back from an older copy or since
-others took its member for gone. Then it is written again, and its member is
-last. So each gateway reads the rows once after a restore.
+Each gateway writes one row at startup. The version of this write is its
+position in the order of members (`core/members`). The first members follow the
+store; all others receive changes from them.
+
+A row may be lost because the store was restored from an older copy or another
+member removed the row of a silent member. The member then writes it again and
+becomes the last in the order. So each gateway reads all rows once after a
+restore.
 """
 
 import asyncio
@@ -38,44 +39,46 @@
 
 MEMBER_TABLE: typing.Final = 'gateways'
 OWNER_CANDIDATES: typing.Final = 2
-"""Members that each gateway keeps in touch with: the owner, and the next,
-which takes over with what the beats told it."""
+"""Members with which each gateway exchanges heartbeats: the owner and its
+successor, which takes over with the state from the heartbeats."""
 _SILENT_ROW_TTL_S: typing.Final = 20.0
-"""Seconds of silence after which the owner removes a member's row; longer
-than any restart."""
+"""Seconds of silence after which the owner removes a member's row. Any restart
+is shorter."""
 _REJOIN_TIMEOUT_S: typing.Final = 5.0
-"""Seconds after which a member is gone that has not written its lost row
-again: the slowest beat tells it of the restore, and it reads and writes."""
+"""Seconds in which a member must rewrite a lost row before it is dropped. It
+covers the slowest heartbeat, which announces the restore, a read and a
+write."""
 _SMALL_DEPLOYMENT: typing.Final = 8
-"""Members up to which each follows the store by itself: the calls of so few
-cost less than a beat's delay in hearing of a change."""
+"""Most members for which each one follows the store itself. With so few, the
+calls cost less than the delay of changes by a heartbeat."""
 _BATCH_DELAY_S: typing.Final = 1.0
-"""Seconds between two looks at changed members; all write at once when a
-deployment starts."""
+"""Seconds between two reads of changed members, since all gateways write at
+the same time when a deployment starts."""
 _WRITE_RETRY_DELAY_S: typing.Final = 0.5
+"""Seconds before a failed write of the own row is retried."""
 _log = logs.Log('mesh')
 
 RemovalCallback = collections.abc.Callable[[ids.MemberId], None]
 
 
 class MemberRow(msgspec.Struct, frozen=True):
-    """A member's row."""
+    """Value of a member's row."""
 
     port: int
     data_centre: str
 
 
 def is_member(row: stores.Row) -> bool:
-    """Return whether a row is a member's; its key is an address then."""
+    """Return whether a row is a member's, whose key is an address."""
     return '/' not in row.key
 
 
 def decode_member_row(row: stores.Row) -> MemberRow | None:
-    """Return what a member's row tells; None if it can't be read."""
+    """Decode a member's row; return None if it is invalid."""
     try:
         return msgspec.json.decode(row.value, type=MemberRow)
     except msgspec.MsgspecError as error:
-        _log.error('Bad member row.', member=row.key, error=str(error))
+        _log.error('Invalid member row.', member=row.key, error=str(error))
         return None
 
 
@@ -84,37 +87,38 @@
 
     Args:
         store: the platform's store.
-        outage: of the store, as all feeds of this gateway see it.
-        me: this member.
-        row: what it writes.
-        dropped: called with each member that is gone.
-        begin_list: called before the rows of a list of all.
-        others: called with each row that is no member's.
+        outage: state of store outages, shared by all feeds of this gateway.
+        own_id: id of this member.
+        own_row: row that this member writes.
+        on_removal: callback with each member that is dropped.
+        begin_snapshot: callback before the rows of a full list.
+        on_other_row: callback with each row that is not a member's.
 
     Attributes:
-        members: all that are known.
+        members: all known members.
+        feed: feed of the table of members.
     """
 
     def __init__(
         self,
         store: stores.Store,
         outage: followers.Outage,
-        me: ids.MemberId,
-        row: MemberRow,
-        dropped: RemovalCallback,
-        begin_list: collections.abc.Callable[[], None],
-        others: collections.abc.Callable[[stores.Row], None],
+        own_id: ids.MemberId,
+        own_row: MemberRow,
+        on_removal: RemovalCallback,
+        begin_snapshot: collections.abc.Callable[[], None],
+        on_other_row: collections.abc.Callable[[stores.Row], None],
     ) -> None:
         self._store = store
-        self._own_id = me
-        self._own_row = row
-        self._on_removal = dropped
-        self._begin_snapshot = begin_list
-        self._on_other_row = others
+        self._own_id = own_id
+        self._own_row = own_row
+        self._on_removal = on_removal
+        self._begin_snapshot = begin_snapshot
+        self._on_other_row = on_other_row
         self._newest_announced = versions.NEVER
         self._snapshot_version = versions.NEVER
         self._own_row_lost = asyncio.Event()
-        self.members = members.Members(me)
+        self.members = members.Members(own_id)
         self.feed = followers.Follower(
             store,
             outage,
@@ -126,16 +130,17 @@
         )
         outage.max_retry_delay = self._max_retry_delay
 
-    # Who follows the store.
+    # Feeds.
 
     def fed_by_peers(self) -> bool:
         """Return whether others follow the store for this gateway.
 
-        Those first in the order read the store; all others hear from them,
-        with each beat, what is new, as long as one of them hears the store.
+        The first members in the order read the store. All others receive
+        changes from them with each heartbeat, as long as one of them reaches
+        the store.
         """
         now = clock.now()
-        first = self.members.ordered()[:OWNER_CANDIDATES]
+        candidates = self.members.ordered()[:OWNER_CANDIDATES]
         if (
             self._own_id in first
             or len(self.members.known) <= _SMALL_DEPLOYMENT
@@ -144,17 +149,17 @@
         return any(
             self.members.is_live(name, now)
             and self.members.known[name].hears_store
-            for name in first
+            for name in candidates
         )
 
     def add_versions(
         self, order: versions.Version, upstreams: versions.Version
     ) -> None:
-        """Note which versions a member knows of.
+        """Record the versions that a member announces.
 
         Args:
-            order: its place.
-            upstreams: up to which it knows upstreams.
+            order: version of the member's row.
+            upstreams: version as of which the member knows upstreams.
         """
         restored = versions.Version(upstreams.era, 0)
         self._newest_announced = max(self._newest_announced, order, restored)
@@ -162,31 +167,32 @@
     def _is_up_to_date(self) -> bool:
         """Return whether the rows of members need not be read.
 
-        When many restart at once, a gateway reads some rows of before. Those
-        members tell that they have newer ones; the rest is read then. Without
-        it, 80 gateways asked six owners for four seconds after a loss of
-        power, and these filled the same engines.
+        When many members restart at once, a gateway may read old rows. Those
+        members then announce newer versions, and the rows are read again.
+        Without this, 80 gateways used six different owners for four seconds
+        after a power failure, and these owners overloaded the same engines.
         """
         return (
             self.fed_by_peers() and self.feed.version >= self._newest_announced
         )
 
     def _max_retry_delay(self) -> float:
-        """Return the seconds between two questions to a store that is away.
+        """Return the most seconds between two probes of a failing store.
 
-        Those first in the order ask often, and so do few members.
+        The first members in the order probe often, and so do all members of
+        a small deployment.
         """
-        known = len(self.members.known)
+        count = len(self.members.known)
         if self._own_id in self.members.ordered()[:OWNER_CANDIDATES]:
-            known = 0
+            count = 0
         return followers.MAX_RETRY_DELAY_S * max(
-            1.0, known / _SMALL_DEPLOYMENT
+            1.0, count / _SMALL_DEPLOYMENT
         )
 
-    # Rows.
+    # Rows of members.
 
     async def join(self) -> None:
-        """Write this member's row, and again each time that it is lost."""
+        """Write this member's row, and write it again whenever it is lost."""
         while True:
             written = await self._write_own_row()
             self._own_row_lost.clear()
@@ -200,7 +206,7 @@
             await self._own_row_lost.wait()
 
     async def _write_own_row(self) -> stores.Written:
-        """Write this member's row; done once it is acknowledged."""
+        """Write this member's row, retrying until it is acknowledged."""
         value = msgspec.json.encode(self._own_row)
         entry = stores.Entry(MEMBER_TABLE, self._own_id, value=value)
         while True:
@@ -212,13 +218,13 @@
                 if isinstance(written, errors.Failure)
                 else 'conflict'
             )
-            _log.warning('Could not join yet.', detail=detail)
+            _log.warning('Could not write the member row yet.', detail=detail)
             await asyncio.sleep(_WRITE_RETRY_DELAY_S)
 
     def _check_own_row(
         self, rows: list[stores.Row], version: versions.Version
     ) -> None:
-        """Find this member's row in a list of all."""
+        """Look for this member's row in a full list."""
         joined = self.members.order
         if not members.NO_PLACE < joined <= version:
             return
@@ -234,25 +240,25 @@
         self.members.lost_own_row()
         self._own_row_lost.set()
 
-    async def remove_stale(self, decides: bool) -> None:
-        """Drop members without a row, and the row of one that is long gone.
+    async def remove_stale(self, is_owner: bool) -> None:
+        """Drop members without a row, and remove the row of a silent member.
 
         Args:
-            decides: whether this member is the owner, who removes rows.
+            is_owner: whether this member is the owner, which removes rows.
         """
         now = clock.now()
         for name in self.members.unlisted_since(now - _REJOIN_TIMEOUT_S):
             self._drop_member(name)
-        if decides:
+        if is_owner:
             await self._remove_silent(now)
 
     async def _remove_silent(self, now: float) -> None:
         for name, member in self.members.known.items():
-            since = max(member.heard_at, member.found_at)
-            if name == self._own_id or now - since < _SILENT_ROW_TTL_S:
+            last_seen_at = max(member.heard_at, member.found_at)
+            if name == self._own_id or now - last_seen_at < _SILENT_ROW_TTL_S:
                 continue
             if member.order.era != self.feed.version.era:
-                # The number may be another row's in this era.
+                # In this era, another row may have the same number.
                 continue
             member.found_at = now
             await self._remove_row(name, member.order.number)
@@ -260,10 +266,10 @@
 
     async def _remove_row(self, name: ids.MemberId, order: int) -> None:
         row = stores.Entry(MEMBER_TABLE, name, ver=order)
-        gone = stores.Entry(MEMBER_TABLE, name)
-        result = await self._store.transact([row], remove=[gone])
+        removed = stores.Entry(MEMBER_TABLE, name)
+        result = await self._store.transact([row], remove=[removed])
         _log.info(
-            'Row of a silent member removed.',
+            'Removed the row of a silent member.',
             member=name,
             done=isinstance(result, stores.Written),
         )
@@ -299,11 +305,11 @@
                 ):
                     self._record_lost_row(version)
                 continue
-            told = decode_member_row(row)
-            if told is None:
+            decoded = decode_member_row(row)
+            if decoded is None:
                 continue
             order = versions.Version(version.era, row.ver)
-            if self.members.put(name, told.port, order, clock.now()):
+            if self.members.put(name, decoded.port, order, clock.now()):
                 _log.info('Member found.', member=name, order=row.ver)
 
     def _drop_member(self, name: ids.MemberId) -> None:
--- a/galenahatch/gateway/settings.py
+++ b/galenahatch/gateway/settings.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Settings of one gateway process, whatever file they come from.
+"""Settings of a gateway process, independent of the file format.
 
-The file's format belongs to the platform that writes it; an adapter decodes
-it into this type and reports each wrong field. Sizes are bytes and times
-seconds.
+The platform that writes the settings file defines its format. An adapter
+decodes it into these types and reports each invalid field. Sizes are in bytes
+and durations in seconds.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Address:
-    """Where something listens."""
+    """IP address and port of a listening socket."""
 
     host: str
     port: int
@@ -36,17 +36,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """What the deployment promises to its users.
+    """Limits that the deployment guarantees to its users.
 
     Attributes:
-        drain: after the news that an upstream leaves, the time until no new
-            work reaches it.
-        grace: from SIGTERM to SIGKILL.
-        retry_ratio: extra sends for each request of a service.
-        retry_reserve: extra sends in any window, over all VMs.
+        drain: time from the announcement that an upstream is leaving until it
+            gets no new work.
+        grace: time from SIGTERM to SIGKILL.
+        retry_ratio: extra sends allowed per request of a service.
+        retry_reserve: further extra sends allowed in any window, for all VMs.
         retry_window: length of that window.
-        lease: life of the lease on orders.
-        quota: of what a customer may use.
+        lease: lifetime of the lease on orders, and the interval required
+            between orders of two holders.
+        quota: limits on the overshoot of customers' quotas.
     """
 
     drain: float = 2.0
@@ -60,15 +61,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Settings:
-    """Settings of one process.
+    """Settings of one gateway process.
 
     Attributes:
-        name: of the VM.
-        front: where callers connect.
-        readiness: where the balancer asks whether to send callers here.
-        peer_port: where other gateways connect.
-        store: the platform's store.
-        heartbeat: between two writes of an upstream's entry there.
+        name: name of the VM.
+        address: IP address of the VM.
+        data_centre: data centre of the VM.
+        front: address for connections of callers.
+        readiness: address for readiness checks of the load balancer.
+        peer_port: port for connections of other gateways.
+        store: address of the platform's store.
+        bounds: limits that the deployment guarantees.
+        heartbeat: time between two writes of an upstream's entry to the store.
     """
 
     name: str
