--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -151,7 +151,7 @@
         call = engine_client.PrefillCall(
             stream=self._stream,
             prompt=self._asked.prompt,
-            generated=tuple(self._assembly.parts),
+            generated=tuple(self._assembly.tokens),
             priority=int(self._asked.urgency),
         )
         self._began = clock.now()
@@ -247,7 +247,7 @@
             verdict = self._assemble(events)
             if self._assembly.offset > before:
                 self._note_first()
-                text = ''.join(self._assembly.parts[before:])
+                text = ''.join(self._assembly.tokens[before:])
                 try:
                     await self._sink.tokens(text)
                 except ConnectionError:
--- a/galenahatch/core/assembly.py
+++ b/galenahatch/core/assembly.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Putting one answer together from the events of its attempts.
+"""Assembly of one answer from the stream events of its attempts.
 
-Every event names its stream and its offset. Events of another stream or
-an older attempt are dropped, an offset that was passed on already is a
-duplicate, an offset beyond the next one is a gap and asks for a resume.
-Only an end marker at the right offset makes the answer whole.
+Every event carries its stream and offset. Events of other streams or earlier
+attempts are dropped. An offset that was already forwarded is a duplicate; an
+offset past the next one is a gap, after which the stream must be resumed.
+Only an end marker at the expected offset completes the answer.
 """
 
 import enum
@@ -27,7 +27,7 @@
 
 
 class Verdict(enum.Enum):
-    """What to do with an event."""
+    """Classification of an event."""
 
     TOKEN = 'token'
     END = 'end'
@@ -38,55 +38,54 @@
 
 
 class AnswerAssembler:
-    """The answer so far.
+    """Partial answer assembled from events.
 
     Attributes:
-        text: every token passed on.
-        offset: number of the next token.
-        finish: why generation ended, or empty while it runs.
+        tokens: Tokens forwarded so far.
+        finish_reason: Why generation ended; empty while it runs.
     """
 
     def __init__(self) -> None:
-        self.parts: list[str] = []
+        self.tokens: list[str] = []
         self.finish_reason = ''
         self._stream: ids.StreamId | None = None
-        self._foreign = 0
+        self._foreign_events = 0
 
     @property
     def offset(self) -> int:
-        """Number of the next token."""
-        return len(self.parts)
+        """Index of the next token."""
+        return len(self.tokens)
 
     @property
     def text(self) -> str:
-        """Every token so far."""
-        return ''.join(self.parts)
+        """Concatenated tokens so far."""
+        return ''.join(self.tokens)
 
     def expect_stream(self, stream: ids.StreamId) -> None:
-        """Take events of this stream only from now on."""
+        """Accept only events of this stream from now on."""
         self._stream = stream
 
     def add_token(self, stream: str, offset: int, text: str) -> Verdict:
-        """Take a token event."""
-        verdict = self._place(stream, offset)
+        """Classify a token event and append the token if it is next."""
+        verdict = self._classify(stream, offset)
         if verdict is Verdict.TOKEN:
-            self.parts.append(text)
+            self.tokens.append(text)
         return verdict
 
-    def add_end(self, stream: str, offset: int, finish: str) -> Verdict:
-        """Take an end marker; the offset is the number of tokens."""
-        verdict = self._place(stream, offset)
+    def add_end(self, stream: str, offset: int, finish_reason: str) -> Verdict:
+        """Process an end marker, whose offset is the number of tokens."""
+        verdict = self._classify(stream, offset)
         if verdict is Verdict.DUPLICATE:
             return Verdict.BROKEN
         if verdict is not Verdict.TOKEN:
             return verdict
-        self.finish_reason = finish
+        self.finish_reason = finish_reason
         return Verdict.END
 
-    def _place(self, stream: str, offset: int) -> Verdict:
+    def _classify(self, stream: str, offset: int) -> Verdict:
         if stream != self._stream:
-            self._foreign += 1
-            if self._foreign > MAX_FOREIGN_EVENTS:
+            self._foreign_events += 1
+            if self._foreign_events > MAX_FOREIGN_EVENTS:
                 return Verdict.BROKEN
             return Verdict.FOREIGN
         if self.finish_reason or offset < 0:
--- a/galenahatch/core/cache.py
+++ b/galenahatch/core/cache.py
@@ -10,14 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Index of prompt prefixes that prefill engines have in their caches.
-
-A prompt is cut into blocks; the hash of a block covers all blocks before
-it, so that a hash names a whole prefix. Cache events come late and with
-gaps, so an entry is a hint: it ages out, a gap in an engine's event
-numbers drops what was known of that engine, and a prefill's own report of
-cached tokens corrects the index. Memory is bounded; the least recently
-used prefix goes first.
+"""Index of the prompt prefixes cached by prefill engines.
+
+A prompt is split into blocks. The hash of a block also covers all earlier
+blocks, so one hash identifies a whole prefix. Cache events may be late or
+lost, so entries are only hints: they expire, a gap in an engine's event
+numbers invalidates its entries, and the number of cached tokens reported by
+a prefill corrects the index. Memory is bounded by LRU eviction.
 """
 
 import collections
@@ -30,16 +29,16 @@
 
 BLOCK_BYTES: typing.Final = 1024
 MAX_BLOCKS: typing.Final = 64
-_MAX_PREFIXES: typing.Final = 50_000
+_MAX_INDEXED_PREFIXES: typing.Final = 50_000
 
 
 def hash_blocks(prompt: str) -> tuple[int, ...]:
-    """Return the hashes of a prompt's whole blocks, first to last."""
+    """Return the hashes of a prompt's complete blocks, in prompt order."""
     data = prompt.encode()
     digest = xxhash.xxh3_64()
     hashes = []
-    whole = min(len(data) // BLOCK_BYTES, MAX_BLOCKS)
-    for number in range(whole):
+    block_count = min(len(data) // BLOCK_BYTES, MAX_BLOCKS)
+    for number in range(block_count):
         start = number * BLOCK_BYTES
         digest.update(data[start : start + BLOCK_BYTES])
         hashes.append(digest.intdigest())
@@ -47,18 +46,18 @@
 
 
 class PrefixIndex:
-    """Which engine probably has which prefix.
+    """Index of the engines that probably cache each prefix.
 
     Args:
-        max_age: seconds after which an entry is not trusted any more.
+        max_age: Maximum age of a valid entry, in seconds.
     """
 
     def __init__(self, max_age: float) -> None:
         self._max_age = max_age
-        self._prefixes: collections.OrderedDict[
+        self._engines_by_prefix: collections.OrderedDict[
             int, dict[ids.EngineName, float]
         ] = collections.OrderedDict()
-        self._next_event: dict[ids.EngineName, tuple[int, int]] = {}
+        self._expected_events: dict[ids.EngineName, tuple[int, int]] = {}
         self._trusted_from: dict[ids.EngineName, float] = {}
 
     def add_prefixes(
@@ -67,25 +66,25 @@
         blocks: collections.abc.Iterable[int],
         now: float,
     ) -> None:
-        """Note that an engine has these prefixes."""
+        """Record prefixes cached by an engine."""
         for block in blocks:
-            engines = self._prefixes.setdefault(block, {})
+            engines = self._engines_by_prefix.setdefault(block, {})
             engines[engine] = now
-            self._prefixes.move_to_end(block)
-        while len(self._prefixes) > _MAX_PREFIXES:
-            self._prefixes.popitem(last=False)
+            self._engines_by_prefix.move_to_end(block)
+        while len(self._engines_by_prefix) > _MAX_INDEXED_PREFIXES:
+            self._engines_by_prefix.popitem(last=False)
 
     def remove_prefixes(
         self, engine: ids.EngineName, blocks: collections.abc.Iterable[int]
     ) -> None:
-        """Note that an engine no longer has these prefixes."""
+        """Remove prefixes that an engine evicted."""
         for block in blocks:
-            engines = self._prefixes.get(block)
+            engines = self._engines_by_prefix.get(block)
             if engines is None:
                 continue
             engines.pop(engine, None)
             if not engines:
-                del self._prefixes[block]
+                del self._engines_by_prefix[block]
 
     def accept_event(
         self,
@@ -94,35 +93,40 @@
         number: int,
         now: float,
     ) -> bool:
-        """Take an event's number; return False for an old event.
+        """Check the number of an event; return False for an old event.
 
-        An engine that restarts numbers its events anew. After a restart or
-        a gap nothing noted before is trusted for that engine.
+        Event numbers start again when an engine restarts. A restart or a gap
+        invalidates all earlier entries of the engine.
         """
-        fresh = (incarnation, number)
-        known, expected = self._next_event.get(engine, fresh)
-        if known == incarnation and number < expected:
+        current = (incarnation, number)
+        known_incarnation, expected_number = self._expected_events.get(
+            engine, current
+        )
+        if known_incarnation == incarnation and number < expected_number:
             return False
-        if known != incarnation or number > expected:
+        if known_incarnation != incarnation or number > expected_number:
             self._trusted_from[engine] = now
-        self._next_event[engine] = (incarnation, number + 1)
+        self._expected_events[engine] = (incarnation, number + 1)
         return True
 
     def hits(
         self, blocks: collections.abc.Sequence[int], now: float
     ) -> dict[ids.EngineName, int]:
-        """Return by engine how many leading blocks it probably has."""
-        found: dict[ids.EngineName, int] = {}
+        """Return how many leading blocks each engine probably caches."""
+        hits: dict[ids.EngineName, int] = {}
         for number in range(len(blocks), 0, -1):
-            engines = self._prefixes.get(blocks[number - 1])
+            engines = self._engines_by_prefix.get(blocks[number - 1])
             if not engines:
                 continue
-            for engine, noted in engines.items():
-                trusted = self._trusted_from.get(engine, noted)
-                fresh = now - noted <= self._max_age and noted >= trusted
-                if fresh and engine not in found:
-                    found[engine] = number
-        return found
+            for engine, stored_at in engines.items():
+                trusted_from = self._trusted_from.get(engine, stored_at)
+                is_trusted = (
+                    now - stored_at <= self._max_age
+                    and stored_at >= trusted_from
+                )
+                if is_trusted and engine not in hits:
+                    hits[engine] = number
+        return hits
 
     def __len__(self) -> int:
-        return len(self._prefixes)
+        return len(self._engines_by_prefix)
--- a/galenahatch/core/claim.py
+++ b/galenahatch/core/claim.py
@@ -10,15 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Claims of non-idempotent requests: at most one run for a key.
-
-A claim is a record in the table, inserted only if the key is absent, that
-bears a fresh token. Only the entry that made the token may dispatch the
-request, and only after the table confirmed the token. An insert whose
-answer was lost is recognised by reading the token back. A claim that
-could not be confirmed is abandoned for good: its holder never dispatches
-it, and removes it when the table can be reached. No lease is involved, so
-no pause of a process can make two runs out of one.
+"""Claims of non-idempotent requests: at most one run per idempotency key.
+
+A claim is a record with a unique token that is inserted into the table only
+if the key is absent. Only the entry that created the token may dispatch the
+request, and only after the table confirmed the token. If the response to an
+insert is lost, reading the token back shows whether it took effect. A claim
+that can't be confirmed is abandoned permanently: its holder never dispatches
+it and removes it once the table is reachable. Claims do not rely on leases,
+so a paused process can't cause a second run.
 """
 
 import collections
@@ -34,27 +34,27 @@
 from galenahatch import states
 
 MAX_INLINE_ANSWER_BYTES: typing.Final = 8192
-"""Answers up to this size stand in the record itself."""
+"""Maximum size of an answer stored in the record itself."""
 
 
 MAX_ABANDONED_TOKENS: typing.Final = 100_000
 
 
 class Phase(enum.Enum):
-    """State of a claim in the table."""
+    """State of a stored claim."""
 
     CLAIMED = 'claimed'
     DONE = 'done'
 
 
 class Answer(msgspec.Struct, frozen=True, array_like=True):
-    """A finished answer as it was given to the caller.
+    """Complete answer as sent to the caller.
 
     Attributes:
         status: HTTP status.
-        outcome: value of errors.Outcome.
-        content_type: of the body.
-        body: whole body, never a stream.
+        outcome: Value of `errors.Outcome`.
+        content_type: Content type of the body.
+        body: Complete body, never a stream.
     """
 
     status: int
@@ -64,16 +64,16 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What the table holds for a key.
+    """Record of an idempotency key in the table.
 
     Attributes:
-        token: of the claim that holds the key.
-        fingerprint: digest of the request's body.
-        holder: entry that runs it.
-        incarnation: of the holder.
-        phase: claimed or done.
-        answer: the answer, if it is small.
-        object_key: where a larger answer stands in the object store.
+        token: Token of the claim that holds the key.
+        fingerprint: Digest of the request's path and body.
+        holder: Entry that runs the request.
+        incarnation: Incarnation of the holder.
+        phase: Whether the request is claimed or done.
+        answer: Answer, if it is small enough to be stored inline.
+        object_key: Key of a larger answer in the object store.
     """
 
     token: ids.ClaimToken
@@ -86,7 +86,7 @@
 
 
 class Arrival(enum.Enum):
-    """What a request with a claimed key is to be told or to do."""
+    """How to handle a request whose key is claimed."""
 
     RUN = 'run'
     REPLAY = 'replay'
@@ -99,24 +99,24 @@
 
 
 def claim_key(caller: ids.CallerName, idempotency_key: str) -> ids.ClaimKey:
-    """Return the key of a claim; callers never share one."""
+    """Return the key of a claim, which is unique to the caller."""
     text = f'{caller}\x00{idempotency_key}'
     return ids.ClaimKey(hashlib.sha256(text.encode()).hexdigest()[:32])
 
 
 def request_fingerprint(path: str, body: bytes) -> str:
-    """Return the digest that tells a reused key from a repeated one."""
+    """Return the digest that tells a reused key from a repeated request."""
     digest = hashlib.sha256(path.encode() + b'\x00' + body)
     return digest.hexdigest()[:32]
 
 
 def encode(record: Record) -> bytes:
-    """Return the bytes of a record."""
+    """Encode a record."""
     return _ENCODER.encode(record)
 
 
 def decode(data: bytes) -> Record | errors.Failure:
-    """Return the record of some bytes, or why there is none."""
+    """Decode a record, or return why it is invalid."""
     try:
         return _DECODER.decode(data)
     except msgspec.MsgspecError as error:
@@ -126,12 +126,12 @@
 def classify_arrival(
     record: Record, token: ids.ClaimToken, fingerprint: str
 ) -> Arrival:
-    """Return what an arrival with this token may do.
+    """Return how to handle a request that tried to claim a key.
 
     Args:
-        record: read from the table after the arrival's own insert.
-        token: the arrival's own.
-        fingerprint: of the arrival's body.
+        record: Record read from the table after the request's own insert.
+        token: Token of the request.
+        fingerprint: Digest of the request's path and body.
     """
     if record.token == token:
         return Arrival.RUN
@@ -143,13 +143,13 @@
 
 
 def finished_record(record: Record, answer: Answer, object_key: str) -> Record:
-    """Return the done record of a claim.
+    """Return the record of a finished claim.
 
     Args:
-        record: of the claim.
-        answer: the whole answer.
-        object_key: where it stands in the object store, or empty to keep
-            it in the record.
+        record: Record of the claim.
+        answer: Complete answer.
+        object_key: Key of the answer in the object store; empty to store it
+            in the record.
     """
     return Record(
         token=record.token,
@@ -163,7 +163,7 @@
 
 
 class Hold(enum.Enum):
-    """What the holder knows of one of its own tokens."""
+    """State of a token at its holder."""
 
     PENDING = 'pending'
     RUNNING = 'running'
@@ -172,82 +172,84 @@
 
 
 class ClaimTokens:
-    """Every token that one entry made, until its fate is in the table.
+    """Tokens that one entry created and whose results are not yet stored.
 
-    A token moves from pending to running or abandoned and never back:
-    `dispatch` returns False unless the token is pending, which is the one
-    check that stands before any work is sent. Abandoned tokens are
-    remembered for long, since a write that was believed lost may still
-    take effect; the oldest are forgotten first.
+    A token moves from pending to running or abandoned and never back.
+    `try_dispatch` returns False unless the token is pending; this is the only
+    check before work is sent. Abandoned tokens are retained for a long time,
+    since a write that seemed lost may still take effect; the oldest are
+    dropped first.
     """
 
     def __init__(self) -> None:
-        self._holds: dict[ids.ClaimToken, Hold] = {}
+        self._states: dict[ids.ClaimToken, Hold] = {}
         self._abandoned: collections.deque[ids.ClaimToken] = (
             collections.deque()
         )
         self._answers: dict[ids.ClaimToken, Answer] = {}
 
     def add_pending(self, token: ids.ClaimToken) -> None:
-        """Note a fresh token, before its claim is sent."""
-        self._holds[token] = Hold.PENDING
+        """Add a new token before its claim is sent."""
+        self._states[token] = Hold.PENDING
 
     def try_dispatch(self, token: ids.ClaimToken) -> bool:
-        """Move a confirmed token to running; False if it may not run."""
-        if self._holds.get(token) is not Hold.PENDING:
+        """Mark a confirmed token as running; return False if it may not."""
+        if self._states.get(token) is not Hold.PENDING:
             return False
-        self._holds[token] = Hold.RUNNING
+        self._states[token] = Hold.RUNNING
         return True
 
     def abandon(self, token: ids.ClaimToken) -> bool:
-        """Give a token up for good; False if it was dispatched."""
-        hold = self._holds.get(token)
-        if hold in (Hold.RUNNING, Hold.FINISHED):
+        """Abandon a token; return False if it was already dispatched."""
+        state = self._states.get(token)
+        if state in (Hold.RUNNING, Hold.FINISHED):
             return False
         self._remember_abandoned(token)
         return True
 
     def abandon_dispatched(self, token: ids.ClaimToken) -> None:
-        """Give a token up though it was dispatched: nothing started."""
+        """Abandon a dispatched token whose request never started."""
         self._remember_abandoned(token)
 
     def finish(self, token: ids.ClaimToken, answer: Answer) -> None:
-        """Keep the answer of a token until the table has it."""
-        self._holds[token] = Hold.FINISHED
+        """Retain the answer of a token until the table stores it."""
+        self._states[token] = Hold.FINISHED
         self._answers[token] = answer
 
     def forget(self, token: ids.ClaimToken) -> None:
-        """Forget a token whose fate is in the table."""
-        self._holds.pop(token, None)
+        """Remove a token whose result is stored in the table."""
+        self._states.pop(token, None)
         self._answers.pop(token, None)
 
     def state(self, token: ids.ClaimToken) -> Hold | None:
-        """Return what is known of a token; None when nothing."""
-        return self._holds.get(token)
+        """Return the state of a token, or None if it is unknown."""
+        return self._states.get(token)
 
     def answer(self, token: ids.ClaimToken) -> Answer | None:
-        """Return the answer of a finished, unsettled token."""
+        """Return the answer of a finished token that is not yet stored."""
         return self._answers.get(token)
 
     def _remember_abandoned(self, token: ids.ClaimToken) -> None:
-        self._holds[token] = Hold.ABANDONED
+        self._states[token] = Hold.ABANDONED
         self._abandoned.append(token)
         if len(self._abandoned) > MAX_ABANDONED_TOKENS:
-            self._holds.pop(self._abandoned.popleft(), None)
+            self._states.pop(self._abandoned.popleft(), None)
 
     def count_unsettled(self) -> int:
-        """Return how many tokens are pending, running or unsettled."""
-        return sum(hold is not Hold.ABANDONED for hold in self._holds.values())
+        """Return the number of pending, running and unstored tokens."""
+        return sum(
+            state is not Hold.ABANDONED for state in self._states.values()
+        )
 
 
 def claim_reply(
     request: messages.ClaimRequest, stored: bytes | None
 ) -> messages.ClaimReply:
-    """Return the reply to a claim from what the table now holds.
+    """Return the reply to a claim, given the record in the table.
 
     Args:
-        request: the claim.
-        stored: the key's record, or None when the table has none.
+        request: Claim.
+        stored: Encoded record of the key, or None if there is none.
     """
     status = states.ClaimStatus.ABSENT
     other = b''
--- a/galenahatch/core/claimwrites.py
+++ b/galenahatch/core/claimwrites.py
@@ -10,11 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Operations on claims as transactions, and what to answer to each.
+"""Transactions for operations on claims, and the replies to them.
 
-`written` answers an operation that took effect, `conflicted` one whose
-condition does not hold, `found` one whose fate was read back after the
-table's answer was lost, `unconfirmed` one of which nothing is known.
+`committed_reply` is for an operation that took effect, `conflict_reply` for
+one whose condition does not hold, `readback_reply` for one whose result was
+read back after the table's response was lost, and `unconfirmed_reply` for one
+whose result is unknown.
 """
 
 import collections.abc
@@ -34,12 +35,12 @@
 
 
 def claim_key_from(name: str) -> ids.ClaimKey:
-    """Return the claim that a table key names."""
+    """Return the claim key in a table key."""
     return ids.ClaimKey(name.partition('/')[2])
 
 
 def encode_new_claim(request: messages.ClaimRequest) -> bytes:
-    """Return the record of a fresh claim."""
+    """Return the encoded record of a new claim."""
     return claim.encode(
         claim.Record(
             request.token,
@@ -53,21 +54,21 @@
 def build_transaction(
     operations: collections.abc.Iterable[Operation],
 ) -> transaction.Transaction:
-    """Return one transaction for operations on different keys."""
+    """Combine operations on different keys into one transaction."""
     conditions = []
     writes = []
     for operation in operations:
-        before, after = expected_and_new_value(operation)
-        name = table_key(operation.key)
-        conditions.append(transaction.Condition(name, before))
-        writes.append(transaction.Write(name, after))
+        expected, new = expected_and_new_value(operation)
+        key = table_key(operation.key)
+        conditions.append(transaction.Condition(key, expected))
+        writes.append(transaction.Write(key, new))
     return transaction.Transaction(tuple(conditions), tuple(writes))
 
 
 def expected_and_new_value(
     operation: Operation,
 ) -> tuple[bytes | None, bytes | None]:
-    """Return the value before and after an operation."""
+    """Return the expected current value and the new value."""
     if isinstance(operation, messages.ClaimRequest):
         return None, encode_new_claim(operation)
     if isinstance(operation, messages.ClaimVoid):
@@ -91,28 +92,28 @@
     if isinstance(operation, messages.ClaimRequest):
         return claim.claim_reply(operation, value)
     if isinstance(operation, messages.ClaimVoid):
-        # Whatever stands there is not the claim to remove.
+        # The stored value is not the claim to remove.
         return messages.VoidReply(operation.key, operation.token, True)
-    # The finished record stands already, or the claim is no more: either
-    # way nothing is left to write.
+    # The finished record is already stored or the claim was removed; nothing
+    # is left to write.
     return messages.DoneReply(operation.key, operation.token, True)
 
 
 def readback_reply(
     operation: Operation, value: bytes | None
 ) -> messages.AnyMessage:
-    """Return the reply after reading back what the table holds."""
+    """Return the reply after reading the value back from the table."""
     if isinstance(operation, messages.ClaimRequest):
         return claim.claim_reply(operation, value)
     if isinstance(operation, messages.ClaimVoid):
-        gone = value != operation.record
-        return messages.VoidReply(operation.key, operation.token, gone)
-    stored = value == operation.record
-    return messages.DoneReply(operation.key, operation.token, stored)
+        is_removed = value != operation.record
+        return messages.VoidReply(operation.key, operation.token, is_removed)
+    is_stored = value == operation.record
+    return messages.DoneReply(operation.key, operation.token, is_stored)
 
 
 def unconfirmed_reply(operation: Operation) -> messages.AnyMessage:
-    """Return the reply when the table can't be read either."""
+    """Return the reply if reading the table back failed as well."""
     if isinstance(operation, messages.ClaimRequest):
         status = states.ClaimStatus.UNREAD
         return messages.ClaimReply(operation.key, operation.token, status)
--- a/galenahatch/core/lease.py
+++ b/galenahatch/core/lease.py
@@ -10,14 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""One lease in the table, safe without synchronised clocks.
-
-The record holds a fencing number and a counter that the holder raises with
-each renewal. Nobody compares clocks: a standby takes the lease only after
-it has itself seen the record unchanged for the lease's whole length, on
-its own monotonic clock, and by compare-and-set on what it saw. The holder
-stops much earlier, half the length after the last renewal *began*. A new
-holder then waits until the longest order of the old one must be over.
+"""Lease in the table that is safe without synchronised clocks.
+
+The record holds a fencing token and a counter that the holder increments with
+each renewal. Clocks are never compared: a standby takes over only after it has
+observed an unchanged record for the full lease duration on its own monotonic
+clock, using compare-and-set on the observed record. The holder stops much
+earlier, half the duration after it *sent* its last renewal. A new holder then
+waits until any order of the previous holder must have ended.
 """
 
 import typing
@@ -27,11 +27,11 @@
 from galenahatch import ids
 
 HOLD_FRACTION: typing.Final = 0.5
-"""Share of the lease's length for which the holder trusts a renewal."""
+"""Fraction of the lease duration for which a renewal is valid."""
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """The lease as it stands in the table."""
+    """Record of the lease in the table."""
 
     holder: ids.MemberId
     incarnation: int
@@ -40,97 +40,102 @@
 
 
 class Lease:
-    """One controller's view of the lease.
+    """View of the lease at one controller.
 
     Args:
-        member: this controller.
-        incarnation: of this process.
-        length: seconds; the same on every controller.
-        longest_order: seconds after which no order is on its way.
+        member: Member ID of this controller.
+        incarnation: Incarnation of this process.
+        duration: Lease duration in seconds, the same on every controller.
+        max_order_time: Seconds after which no order is still in transit.
     """
 
     def __init__(
         self,
         member: ids.MemberId,
         incarnation: int,
-        length: float,
-        longest_order: float,
+        duration: float,
+        max_order_time: float,
     ) -> None:
         self._member = member
         self._incarnation = incarnation
-        self._length = length
-        self._longest_order = longest_order
-        self._seen: Record | None = None
-        self._seen_at = 0.0
+        self._duration = duration
+        self._max_order_time = max_order_time
+        self._record: Record | None = None
+        self._record_changed_at = 0.0
         self._valid_until = 0.0
-        self._orders_from = 0.0
+        self._orders_allowed_at = 0.0
 
     @property
     def fencing(self) -> int:
-        """Fencing number last seen."""
-        return self._seen.fencing if self._seen else 0
+        """Last observed fencing token."""
+        return self._record.fencing if self._record else 0
 
     def observe(self, record: Record | None, now: float) -> None:
-        """Take the record as read from the table."""
-        if record != self._seen:
-            self._seen = record
-            self._seen_at = now
+        """Record the value read from the table."""
+        if record != self._record:
+            self._record = record
+            self._record_changed_at = now
 
     def propose(self, now: float) -> Record | None:
         """Return the record to compare-and-set, or None to stand by.
 
-        The holder proposes a renewal; a standby proposes to take over once
-        the record has not changed for the lease's length.
+        The holder proposes a renewal. A standby proposes a takeover once the
+        record has been unchanged for the lease duration.
         """
-        seen = self._seen
-        if seen is None:
+        current = self._record
+        if current is None:
             return Record(self._member, self._incarnation, 1, 0)
-        if self._is_mine(seen):
+        if self._is_own(current):
             return Record(
-                seen.holder, seen.incarnation, seen.fencing, seen.renewal + 1
+                current.holder,
+                current.incarnation,
+                current.fencing,
+                current.renewal + 1,
             )
-        if now - self._seen_at <= self._length:
+        if now - self._record_changed_at <= self._duration:
             return None
-        return Record(self._member, self._incarnation, seen.fencing + 1, 0)
+        return Record(self._member, self._incarnation, current.fencing + 1, 0)
 
     def record_accepted(
-        self, record: Record, began: float, now: float
+        self, record: Record, sent_at: float, now: float
     ) -> None:
-        """Note that the table took a proposal.
+        """Record that the table accepted a proposal.
 
         Args:
-            record: the proposal.
-            began: when the transaction was sent.
-            now: when its answer came.
+            record: Accepted record.
+            sent_at: Time at which the transaction was sent.
+            now: Time at which the response arrived.
         """
-        fresh = self._seen is None or self._seen.fencing != record.fencing
-        if fresh:
-            self._orders_from = now + self._longest_order
-        self._seen = record
-        self._seen_at = now
-        self._valid_until = began + self._length * HOLD_FRACTION
+        is_takeover = (
+            self._record is None or self._record.fencing != record.fencing
+        )
+        if is_takeover:
+            self._orders_allowed_at = now + self._max_order_time
+        self._record = record
+        self._record_changed_at = now
+        self._valid_until = sent_at + self._duration * HOLD_FRACTION
 
     def resign(self) -> None:
-        """Send no order any more."""
+        """Stop sending orders."""
         self._valid_until = 0.0
 
     def may_send_orders(self, now: float) -> bool:
-        """Return whether an order may be sent now."""
-        seen = self._seen
-        if seen is None or not self._is_mine(seen):
+        """Return whether orders may be sent now."""
+        current = self._record
+        if current is None or not self._is_own(current):
             return False
-        return self._orders_from <= now < self._valid_until
+        return self._orders_allowed_at <= now < self._valid_until
 
     def is_holder(self, now: float) -> bool:
-        """Return whether this controller holds the lease for sure."""
-        seen = self._seen
+        """Return whether this controller certainly holds the lease."""
+        current = self._record
         return (
-            seen is not None
-            and self._is_mine(seen)
+            current is not None
+            and self._is_own(current)
             and now < self._valid_until
         )
 
-    def _is_mine(self, record: Record) -> bool:
+    def _is_own(self, record: Record) -> bool:
         return (
             record.holder == self._member
             and record.incarnation == self._incarnation
--- a/galenahatch/core/leaving.py
+++ b/galenahatch/core/leaving.py
@@ -10,12 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Which upstreams leave, joined from three sources.
+"""Leaving upstreams, merged from three sources.
 
-Each source numbers its news: the configuration by revision, the VM list by
-version, an engine's own report by incarnation and sequence. Only newer
-news of the same source counts, and one source that says `leaving` is
-enough, so older or other news never brings an upstream back.
+Each source versions its updates: the configuration by revision, the VM list
+by version, an engine's own report by incarnation and sequence number. Only
+newer updates of the same source are applied, and any one source suffices to
+mark an upstream as leaving, so a stale update or another source never
+reverts it.
 """
 
 import collections.abc
@@ -25,19 +26,19 @@
 
 
 class LeavingUpstreams:
-    """What each source said last."""
+    """Latest update of each source."""
 
     def __init__(self) -> None:
         self._revision = -1
         self._draining: frozenset[str] = frozenset()
-        self._version = -1
-        self._addresses: frozenset[str] = frozenset()
+        self._vm_list_version = -1
+        self._leaving_addresses: frozenset[str] = frozenset()
         self._reports: dict[ids.EngineName, tuple[int, int, bool]] = {}
 
     def record_configuration(
         self, revision: int, draining: collections.abc.Iterable[str]
     ) -> None:
-        """Take the drained upstreams of a configuration."""
+        """Record the draining upstreams of a configuration."""
         if revision > self._revision:
             self._revision = revision
             self._draining = frozenset(draining)
@@ -45,10 +46,10 @@
     def record_vm_list(
         self, version: int, addresses: collections.abc.Iterable[str]
     ) -> None:
-        """Take the addresses that a version of the VM list calls leaving."""
-        if version > self._version:
-            self._version = version
-            self._addresses = frozenset(addresses)
+        """Record the leaving addresses in a version of the VM list."""
+        if version > self._vm_list_version:
+            self._vm_list_version = version
+            self._leaving_addresses = frozenset(addresses)
 
     def record_report(
         self,
@@ -57,33 +58,33 @@
         sequence: int,
         leaving: bool,
     ) -> None:
-        """Take an engine's own word.
+        """Record an engine's own report.
 
-        Within an incarnation leaving is final.
+        Leaving is final within an incarnation.
         """
-        before = self._reports.get(engine)
-        if before is not None and before[0] == incarnation:
-            if sequence <= before[1]:
+        previous = self._reports.get(engine)
+        if previous is not None and previous[0] == incarnation:
+            if sequence <= previous[1]:
                 return
-            leaving = leaving or before[2]
+            leaving = leaving or previous[2]
         self._reports[engine] = (incarnation, sequence, leaving)
 
     def leaving_engines(
         self, declared: collections.abc.Iterable[schema.Engine]
     ) -> frozenset[ids.EngineName]:
-        """Return the engines that leave."""
+        """Return the names of the leaving engines."""
         return frozenset(
-            engine.name for engine in declared if self._leaves(engine)
+            engine.name for engine in declared if self._is_leaving(engine)
         )
 
     def is_url_leaving(self, url: str, address: str) -> bool:
-        """Return whether a plain service's upstream leaves."""
-        return url in self._draining or address in self._addresses
+        """Return whether an upstream of a plain service is leaving."""
+        return url in self._draining or address in self._leaving_addresses
 
-    def _leaves(self, engine: schema.Engine) -> bool:
+    def _is_leaving(self, engine: schema.Engine) -> bool:
         report = self._reports.get(engine.name)
         return (
             engine.name in self._draining
-            or engine.address in self._addresses
+            or engine.address in self._leaving_addresses
             or (report is not None and report[2])
         )
--- a/galenahatch/core/links.py
+++ b/galenahatch/core/links.py
@@ -10,12 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Reserved time on an engine's link.
+"""Reservations of transfer time on the network links of engines.
 
-Transfers go one after the other. A transfer is reserved for the time when
-its prefill will be done, which may be long after transfers of shorter
-prompts, so the link is a list of busy intervals with gaps to use, not one
-queue.
+Transfers on a link are sequential. A transfer is reserved for the time its
+prefill ends, which may be long after the transfers of shorter prompts. A link
+is therefore a list of busy intervals with usable gaps, not a FIFO queue.
 """
 
 import bisect
@@ -27,12 +26,12 @@
     """Busy intervals of one link; times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self._busy: list[Interval] = []
+        self._intervals: list[Interval] = []
 
     def earliest(self, start: float, duration: float) -> float:
-        """Return when a transfer that may begin at `start` can begin."""
+        """Return the earliest begin of a transfer, at or after `start`."""
         begin = start
-        for busy_from, busy_until in self._busy:
+        for busy_from, busy_until in self._intervals:
             if busy_until <= begin:
                 continue
             if busy_from >= begin + duration:
@@ -41,21 +40,23 @@
         return begin
 
     def reserve(self, start: float, end: float, now: float) -> None:
-        """Reserve an interval and forget those that are over."""
-        self._busy = [one for one in self._busy if one[1] > now]
-        bisect.insort(self._busy, (start, end))
+        """Reserve an interval and remove the past ones."""
+        self._intervals = [
+            interval for interval in self._intervals if interval[1] > now
+        ]
+        bisect.insort(self._intervals, (start, end))
 
     def __len__(self) -> int:
-        return len(self._busy)
+        return len(self._intervals)
 
 
 def earliest(
     first: Link, second: Link, start: float, duration: float
 ) -> float:
-    """Return when both links are free for a transfer."""
+    """Return the earliest begin of a transfer on two links."""
     begin = start
     while True:
-        after = second.earliest(first.earliest(begin, duration), duration)
-        if after == begin:
+        next_begin = second.earliest(first.earliest(begin, duration), duration)
+        if next_begin == begin:
             return begin
-        begin = after
+        begin = next_begin
--- a/galenahatch/core/membership.py
+++ b/galenahatch/core/membership.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Who is alive, who is leaving.
+"""Membership: which members are live, silent or leaving.
 
-Three sources are joined: heartbeats, the platform's VM list, and a second
-member's word. Heartbeats alone prove life. The VM list lags, so it is
-believed when it says that a VM leaves or is gone, never when it says that
-one lives. Leaving is final for an incarnation: a heartbeat that was
-delayed and still says live does not bring a member back.
+It merges three sources: heartbeats, the platform's VM list, and confirmation
+by a second member. Only heartbeats prove that a member is live. The VM list
+lags, so it is trusted when it reports a VM as leaving or gone, but not when
+it reports one as live. Leaving is final for an incarnation: a delayed
+heartbeat that reports a member as live does not revert it.
 """
 
 import collections.abc
@@ -30,7 +30,7 @@
 from galenahatch import states
 
 FORGET_AFTER_S: typing.Final = 30.0
-"""Seconds of silence after which a member is no longer remembered."""
+"""Seconds of silence after which a member is removed."""
 
 
 @dataclasses.dataclass
@@ -40,12 +40,12 @@
 
 
 def role_of(member: ids.MemberId) -> str:
-    """Return the role in a member's id."""
+    """Return the role in a member's ID."""
     return member.partition('/')[0]
 
 
 def address_of(member: ids.MemberId) -> str:
-    """Return the IP number in a member's id."""
+    """Return the IP address in a member's ID."""
     return member.partition('/')[2].rpartition(':')[0]
 
 
@@ -53,11 +53,12 @@
     """Members known to one daemon.
 
     Args:
-        silence: seconds without a heartbeat until a member is silent.
+        silence_timeout: Seconds without a heartbeat after which a member is
+            silent.
     """
 
-    def __init__(self, silence: float) -> None:
-        self.silence_timeout = silence
+    def __init__(self, silence_timeout: float) -> None:
+        self.silence_timeout = silence_timeout
         self._members: dict[ids.MemberId, _Member] = {}
         self._leaving_vms: frozenset[str] = frozenset()
         self._listed_vms: frozenset[str] | None = None
@@ -65,44 +66,44 @@
     def record_heartbeat(
         self, heartbeat: messages.Heartbeat, now: float
     ) -> bool:
-        """Take a heartbeat; return whether the member is new or restarted.
+        """Record a heartbeat; return whether its member is new or restarted.
 
         Args:
-            heartbeat: as received.
-            now: monotonic seconds.
+            heartbeat: Heartbeat as received.
+            now: Monotonic seconds.
         """
-        known = self._members.get(heartbeat.member)
-        if known is None:
+        member = self._members.get(heartbeat.member)
+        if member is None:
             self._members[heartbeat.member] = _Member(heartbeat, now)
             return True
-        restarted = known.heartbeat.incarnation != heartbeat.incarnation
-        was_leaving = known.heartbeat.standing is states.Standing.LEAVING
-        if was_leaving and not restarted:
+        is_restarted = member.heartbeat.incarnation != heartbeat.incarnation
+        was_leaving = member.heartbeat.standing is states.Standing.LEAVING
+        if was_leaving and not is_restarted:
             heartbeat = msgspec.structs.replace(
                 heartbeat, standing=states.Standing.LEAVING
             )
-        known.heartbeat = heartbeat
-        known.heard_at = now
-        return restarted
+        member.heartbeat = heartbeat
+        member.heard_at = now
+        return is_restarted
 
     def record_vm_list(
         self,
-        live: collections.abc.Iterable[str],
-        leaving: collections.abc.Iterable[str],
+        live_addresses: collections.abc.Iterable[str],
+        leaving_addresses: collections.abc.Iterable[str],
     ) -> None:
-        """Take the platform's VM list, as IP numbers."""
-        self._leaving_vms = frozenset(leaving)
-        self._listed_vms = frozenset(live) | self._leaving_vms
+        """Record the IP addresses in the platform's VM list."""
+        self._leaving_vms = frozenset(leaving_addresses)
+        self._listed_vms = frozenset(live_addresses) | self._leaving_vms
 
     def forget_silent(self, now: float) -> None:
-        """Drop members that have been silent for long."""
+        """Remove members that have been silent for `FORGET_AFTER_S`."""
         for member in self.silent_members(now, FORGET_AFTER_S):
             del self._members[member]
 
     def live_members(
         self, role: states.Role, now: float
     ) -> list[ids.MemberId]:
-        """Return the members of a role that take new work, sorted."""
+        """Return the members of a role that accept new work, sorted."""
         return sorted(
             member
             for member, state in self._members.items()
@@ -115,7 +116,12 @@
     def silent_members(
         self, now: float, seconds: float | None = None
     ) -> list[ids.MemberId]:
-        """Return the members not heard for some time."""
+        """Return the members without a heartbeat for some time.
+
+        Args:
+            now: Monotonic seconds.
+            seconds: Minimum silence; the silence timeout if None.
+        """
         limit = self.silence_timeout if seconds is None else seconds
         return [
             member
@@ -124,17 +130,17 @@
         ]
 
     def silence_duration(self, member: ids.MemberId, now: float) -> float:
-        """Return seconds since a member was heard; negative if never."""
+        """Return seconds since a member's last heartbeat; -1 if none."""
         state = self._members.get(member)
         return now - state.heard_at if state else -1.0
 
     def incarnation_of(self, member: ids.MemberId) -> int | None:
-        """Return a member's incarnation; None if it was never heard."""
+        """Return a member's incarnation, or None if it is unknown."""
         state = self._members.get(member)
         return state.heartbeat.incarnation if state else None
 
     def is_delisted(self, member: ids.MemberId) -> bool:
-        """Return whether the VM list no longer has a member's VM."""
+        """Return whether a member's VM is missing from the VM list."""
         if self._listed_vms is None:
             return False
         return address_of(member) not in self._listed_vms
@@ -146,5 +152,5 @@
         ]
 
     def count(self) -> int:
-        """Return how many members are remembered."""
+        """Return the number of known members."""
         return len(self._members)
--- a/galenahatch/core/orders.py
+++ b/galenahatch/core/orders.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Orders to engines: from what is declared and what is read back.
+"""Orders to engines, planned from declared and observed state.
 
-Orders are declarative: one says what an engine should run, not what to do.
-So an order that arrives late, twice or from a holder that lost its lease
-is put right by the next reading, also on engines that ignore fencing.
+Orders are declarative: they state what an engine should run, not what to do.
+An order that arrives late, twice or from a former lease holder is therefore
+corrected after the next read, even on engines that ignore fencing.
 """
 
 import collections.abc
@@ -26,7 +26,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """What an engine should run."""
+    """Declaration of what an engine should run."""
 
     model: str
     adapter: str
@@ -35,7 +35,7 @@
 
 
 class PlannedOrder(msgspec.Struct, frozen=True):
-    """An order to send to one engine, and why."""
+    """Order to send to one engine, with its reason."""
 
     engine: ids.EngineName
     order: Order
@@ -45,7 +45,7 @@
 def desired_orders(
     settings: schema.Config,
 ) -> dict[ids.EngineName, Order]:
-    """Return what each engine should run."""
+    """Return the declared order of each engine."""
     services = {service.name: service for service in settings.services}
     return {
         engine.name: Order(
@@ -60,24 +60,24 @@
 
 
 def plan_orders(
-    wanted: collections.abc.Mapping[ids.EngineName, Order],
+    desired: collections.abc.Mapping[ids.EngineName, Order],
     observed: collections.abc.Mapping[ids.EngineName, Order],
 ) -> list[PlannedOrder]:
-    """Return the orders that bring engines to what is wanted.
+    """Return the orders that bring engines to their desired state.
 
-    Engines that could not be read are left alone until they can be.
+    Engines whose state could not be read get no order until it can be.
     """
-    sends = []
-    for engine, order in sorted(wanted.items()):
-        seen = observed.get(engine)
-        if seen is None or seen == order:
+    planned = []
+    for engine, order in sorted(desired.items()):
+        current = observed.get(engine)
+        if current is None or current == order:
             continue
-        changed = [
+        differing = [
             name
             for name in ('model', 'adapter', 'version', 'role')
-            if getattr(seen, name) != getattr(order, name)
+            if getattr(current, name) != getattr(order, name)
         ]
-        sends.append(
-            PlannedOrder(engine, order, 'differs in ' + ', '.join(changed))
+        planned.append(
+            PlannedOrder(engine, order, 'differs in ' + ', '.join(differing))
         )
-    return sends
+    return planned
--- a/galenahatch/core/rendezvous.py
+++ b/galenahatch/core/rendezvous.py
@@ -12,8 +12,8 @@
 
 """Rendezvous hashing.
 
-Each member's weight for a key is a hash of both; the highest weight wins.
-When a member comes or goes, only the keys that it wins change hands.
+The weight of a member for a key is a hash of both; the highest weight wins.
+If a member joins or leaves, only the keys that it owns move.
 """
 
 import collections.abc
@@ -26,14 +26,14 @@
 def rank(
     key: str, members: collections.abc.Iterable[ids.MemberId]
 ) -> list[ids.MemberId]:
-    """Return the members from the winner of a key downwards."""
+    """Return the members by descending weight for a key."""
     return sorted(members, key=lambda m: _weight(key, m), reverse=True)
 
 
 def winner(
     key: str, members: collections.abc.Iterable[ids.MemberId]
 ) -> ids.MemberId | None:
-    """Return the member that owns a key, or None without members."""
+    """Return the member that owns a key, or None if there are no members."""
     return max(members, key=lambda m: _weight(key, m), default=None)
 
 
--- a/galenahatch/core/transaction.py
+++ b/galenahatch/core/transaction.py
@@ -10,41 +10,41 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Transactions of the platform's table, as data.
+"""Data types for transactions on the platform's table.
 
-Conditions compare whole values, so neither clocks nor version numbers are
-needed to recognise a write whose answer was lost.
+Conditions compare complete values, so that a write whose response was lost
+can be recognised without clocks or version numbers.
 """
 
 import msgspec
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """A key must hold exactly this value; None means that it is absent."""
+    """Requires a key to have exactly this value; None requires absence."""
 
     key: str
     value: bytes | None = None
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A key gets this value; None deletes it."""
+    """Sets a key to this value; None deletes it."""
 
     key: str
     value: bytes | None
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """All writes happen if all conditions hold, else none."""
+    """Applies all writes if all conditions hold, otherwise none."""
 
     conditions: tuple[Condition, ...]
     writes: tuple[Write, ...]
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The transaction took effect."""
+    """Result of a transaction that took effect."""
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Conditions that do not hold, with the values that stand."""
+    """Result of failed conditions, with the current values of their keys."""
 
     current: dict[str, bytes | None]
--- a/galenahatch/core/watch.py
+++ b/galenahatch/core/watch.py
@@ -10,14 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Streams that a watcher cancels should their entry go.
-
-An engine keeps a stream when a connection drops, so only an explicit
-cancel frees its memory. Each entry tells its watchers of a stream before
-it sends work, and again in a complete report with every heartbeat. A
-watcher takes over a silent entry's streams once a second member has not
-heard the entry either, or the VM list no longer has its VM. A restarted
-entry proves that its former incarnation is gone.
+"""Streams that a watcher cancels if their entry fails.
+
+An engine keeps a stream when its connection drops, so only an explicit cancel
+frees the stream's memory. An entry registers each stream with its watchers
+before it sends work, and includes it in a complete report with every
+heartbeat. A watcher takes over the streams of a silent entry once a second
+member confirms the silence, or the VM list no longer contains the entry's VM.
+The restart of an entry proves that its earlier incarnation is gone.
 """
 
 import collections.abc
@@ -28,19 +28,19 @@
 from galenahatch import messages
 
 CONFIRM_TIMEOUT_S: typing.Final = 0.5
-"""Seconds for which a second member's answer is waited for."""
+"""Seconds to wait for a second member's reply."""
 
 
 @dataclasses.dataclass
 class _Entry:
     incarnation: int
     streams: dict[ids.StreamId, messages.Held]
-    asked_at: float | None = None
+    queried_at: float | None = None
     confirmed: bool = False
 
 
 class StreamWatch:
-    """Streams by entry."""
+    """Watched streams by entry."""
 
     def __init__(self) -> None:
         self._entries: dict[ids.MemberId, _Entry] = {}
@@ -51,61 +51,67 @@
         incarnation: int,
         held: collections.abc.Iterable[messages.Held],
     ) -> list[messages.Held]:
-        """Add streams; return orphans of an earlier incarnation."""
-        orphans = self._renew(entry, incarnation)
-        for one in held:
-            self._entries[entry].streams[one.stream] = one
+        """Add streams; return orphaned ones of an earlier incarnation."""
+        orphans = self._start_incarnation(entry, incarnation)
+        for held_stream in held:
+            self._entries[entry].streams[held_stream.stream] = held_stream
         return orphans
 
     def apply_report(self, report: messages.HeldReport) -> list[messages.Held]:
-        """Take a complete report; return orphans of an earlier one."""
-        orphans = self._renew(report.entry, report.incarnation)
-        streams = {one.stream: one for one in (*report.held, *report.watched)}
+        """Apply a complete report; return earlier, orphaned streams.
+
+        A stream is orphaned if it belongs to an earlier incarnation.
+        """
+        orphans = self._start_incarnation(report.entry, report.incarnation)
+        streams = {
+            held_stream.stream: held_stream
+            for held_stream in (*report.held, *report.watched)
+        }
         self._entries[report.entry].streams = streams
         return orphans
 
     def remove(self, entry: ids.MemberId, stream: ids.StreamId) -> None:
-        """Forget a stream that ended."""
+        """Remove an ended stream of an entry."""
         state = self._entries.get(entry)
         if state is not None:
             state.streams.pop(stream, None)
 
     def remove_stream(self, stream: ids.StreamId) -> None:
-        """Forget a stream that ended, whosever it was."""
+        """Remove a stream that ended, whichever entry it belongs to."""
         for state in self._entries.values():
             state.streams.pop(stream, None)
 
     def record_heartbeat(
         self, entry: ids.MemberId, incarnation: int
     ) -> list[messages.Held]:
-        """Note a sign of life; return orphans of an earlier incarnation."""
+        """Record a heartbeat; return orphans of an earlier incarnation."""
         state = self._entries.get(entry)
         if state is None:
             return []
-        orphans = self._renew(entry, incarnation)
-        self._entries[entry].asked_at = None
+        orphans = self._start_incarnation(entry, incarnation)
+        self._entries[entry].queried_at = None
         self._entries[entry].confirmed = False
         return orphans
 
     def entries_to_confirm(
         self, silent: collections.abc.Iterable[ids.MemberId], now: float
     ) -> list[ids.MemberId]:
-        """Return silent entries to ask a second member about."""
-        asked = []
+        """Return the silent entries to query a second member about."""
+        to_query = []
         for entry in silent:
             state = self._entries.get(entry)
             if state is None or not state.streams:
                 continue
-            waited = state.asked_at is not None and (
-                now - state.asked_at < CONFIRM_TIMEOUT_S
+            is_query_pending = state.queried_at is not None and (
+                now - state.queried_at < CONFIRM_TIMEOUT_S
             )
-            if not state.confirmed and not waited:
-                state.asked_at = now
-                asked.append(entry)
-        return asked
+            if not state.confirmed and not is_query_pending:
+                state.queried_at = now
+                to_query.append(entry)
+        return to_query
 
     def confirm_gone(self, entry: ids.MemberId) -> list[messages.Held]:
-        """Return the streams to cancel: the entry is taken for gone."""
+        """Mark an entry as gone and return its streams to cancel."""
         state = self._entries.get(entry)
         if state is None:
             return []
@@ -118,7 +124,7 @@
         """Return how many streams are watched."""
         return sum(len(state.streams) for state in self._entries.values())
 
-    def _renew(
+    def _start_incarnation(
         self, entry: ids.MemberId, incarnation: int
     ) -> list[messages.Held]:
         state = self._entries.get(entry)
--- a/galenahatch/test/test_fuzz_rules.py
+++ b/galenahatch/test/test_fuzz_rules.py
@@ -61,9 +61,9 @@
             if offset >= 5:
                 continue
             verdict = built.add_token(stream, offset, text)
-        assert built.parts == truth[: built.offset]
+        assert built.tokens == truth[: built.offset]
         if verdict is assembly.Verdict.END:
-            assert built.parts == truth
+            assert built.tokens == truth
         if verdict is assembly.Verdict.BROKEN:
             return
 
