--- a/galenahatch/core/cells.py
+++ b/galenahatch/core/cells.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""How engines are divided into cells.
+"""Division of engines into cells.
 
-A cell is what one owner decides on: the engines of one service in one
-region, divided into shards when there are many, so that a decision's cost
-stays bounded. A request goes to a shard by its prompt's first block, so
-that prompts with a common prefix meet the same caches.
+A cell is the unit of scheduling of one owner: the engines of one service in
+one region. Large sets of engines are sharded to bound the cost of a decision.
+The first block of a prompt selects the shard, so that prompts with a common
+prefix use the same caches.
 """
 
 import collections.abc
@@ -32,13 +32,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class CellConfig:
-    """One cell as the configuration makes it.
+    """Configuration of one cell.
 
     Attributes:
-        cell: id.
-        service: that the engines serve.
-        engines: of all sites of the region.
-        allowed: engines by site, as its overlay says.
+        cell: Cell ID.
+        service: Service that the engines run.
+        engines: Engines from all sites of the region.
+        allowed_by_site: Engines that each site's overlay allows.
     """
 
     cell: ids.CellId
@@ -51,38 +51,40 @@
     sites: collections.abc.Mapping[str, schema.Config],
     region: ids.RegionName,
 ) -> dict[ids.CellId, CellConfig]:
-    """Return the cells of a region."""
-    within = _sites_within(sites, region)
-    services = {s.name: s for c in within.values() for s in c.services}
+    """Return the configurations of a region's cells."""
+    region_sites = _sites_within(sites, region)
+    services = {s.name: s for c in region_sites.values() for s in c.services}
     allowed = {
         ids.SiteName(site): frozenset(e.name for e in settings.engines)
-        for site, settings in within.items()
+        for site, settings in region_sites.items()
     }
-    engines = _engines_by_service(within, region)
-    found: dict[ids.CellId, CellConfig] = {}
+    engines = _engines_by_service(region_sites, region)
+    configs: dict[ids.CellId, CellConfig] = {}
     for service in services.values():
-        declared = engines.get(service.name, ())
-        count = shard_count(declared)
-        for shard in range(count):
+        service_engines = engines.get(service.name, ())
+        shards = shard_count(service_engines)
+        for shard in range(shards):
             cell = cell_id(service.name, region, shard)
-            members = tuple(
-                e for e in declared if _shard_of(e.name, count) == shard
+            shard_engines = tuple(
+                e
+                for e in service_engines
+                if _shard_of(e.name, shards) == shard
             )
-            found[cell] = CellConfig(cell, service, members, allowed)
-    return found
+            configs[cell] = CellConfig(cell, service, shard_engines, allowed)
+    return configs
 
 
 def shard_count(engines: collections.abc.Collection[schema.Engine]) -> int:
-    """Return how many shards some engines need."""
+    """Return the number of shards for a set of engines."""
     prefills = sum(engine.role == 'prefill' for engine in engines)
-    larger = max(prefills, len(engines) - prefills, 1)
-    return -(-larger // ENGINES_PER_SHARD)
+    larger_pool = max(prefills, len(engines) - prefills, 1)
+    return -(-larger_pool // ENGINES_PER_SHARD)
 
 
 def cell_id(
     service: ids.ServiceName, region: ids.RegionName, shard: int
 ) -> ids.CellId:
-    """Return the id of a cell."""
+    """Return the ID of a cell."""
     return ids.CellId(f'{service}/{region}/{shard}')
 
 
@@ -93,7 +95,7 @@
     blocks: tuple[int, ...],
     request: ids.RequestId,
 ) -> ids.CellId | None:
-    """Return the cell of a request; None if its service has none."""
+    """Return the cell of a request, or None if its service has no cell."""
     prefix = f'{service}/{region}/'
     count = sum(cell.startswith(prefix) for cell in cells)
     if not count:
@@ -123,14 +125,14 @@
     region: ids.RegionName,
 ) -> dict[ids.ServiceName, tuple[schema.Engine, ...]]:
     """Return the engines in the data centres of a region, by service."""
-    found: dict[ids.EngineName, schema.Engine] = {}
+    by_name: dict[ids.EngineName, schema.Engine] = {}
     for settings in sites.values():
         for engine in settings.engines:
             site = settings.site_of(engine.data_centre)
             if site is not None and site.region == region:
-                found.setdefault(engine.name, engine)
+                by_name.setdefault(engine.name, engine)
     by_service: dict[ids.ServiceName, list[schema.Engine]] = {}
-    for name in sorted(found):
-        engine = found[name]
+    for name in sorted(by_name):
+        engine = by_name[name]
         by_service.setdefault(engine.service, []).append(engine)
     return {name: tuple(engines) for name, engines in by_service.items()}
--- a/galenahatch/core/engines.py
+++ b/galenahatch/core/engines.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What a cell's owner knows and predicts of its engines.
+"""Load state and predictions of a cell's engines, kept by its owner.
 
-A prefill engine works off prompts one after the other, so its load is one
-number: when it will be idle. A decode engine holds each request from the
-transfer to its last token, so its load is the predicted end of each place.
-Predictions are corrected by what entries report, and the engines' own load
-reports, which lag, only move slow averages.
+A prefill engine processes prompts sequentially, so its load is the time at
+which it becomes idle. A decode engine holds each request from the transfer to
+the last token, so its load is the predicted end of each request. Reports of
+entries correct the predictions. Load reports of the engines themselves lag
+and only update slow averages.
 """
 
 import bisect
@@ -29,28 +29,28 @@
 from galenahatch import schema
 
 _SMOOTHING: typing.Final = 0.2
-_LEAST_RATE_FACTOR: typing.Final = 0.1
-_MOST_RATE_FACTOR: typing.Final = 10.0
-_CROSS_CENTRE_SECONDS: typing.Final = 0.003
-"""Cost of a request between data centres, beside the transfer."""
+_MIN_SLOWNESS: typing.Final = 0.1
+_MAX_SLOWNESS: typing.Final = 10.0
+_INTER_DATA_CENTRE_DELAY_S: typing.Final = 0.003
+"""Extra delay of a request between data centres, excluding its transfer."""
 
 
 def smooth(average: float, sample: float) -> float:
-    """Return an exponential average with one more sample."""
+    """Return an exponential moving average updated with a sample."""
     return average + _SMOOTHING * (sample - average)
 
 
 @dataclasses.dataclass
 class PrefillEngine:
-    """A prefill engine.
+    """Prefill engine.
 
     Attributes:
-        settings: as declared.
-        health: ejection state.
-        slowness: measured over declared time of a prefill.
-        leaving: whether any source says that it leaves.
-        trial: attempt that it is tried with.
-        link: reserved transfers.
+        settings: Declared settings.
+        health: Ejection state.
+        slowness: Ratio of measured to declared prefill time.
+        leaving: Whether any source reports it as leaving.
+        trial_stream: Attempt that probes the engine after an ejection.
+        link: Network link with its reserved transfers.
     """
 
     settings: schema.Engine
@@ -69,52 +69,52 @@
 
     @property
     def queued_prompts(self) -> int:
-        """Prompts that it has or will get."""
+        """Number of prompts running or reserved."""
         return len(self._costs)
 
     def cost(self, tokens: int) -> float:
-        """Return the predicted seconds to prefill some tokens."""
+        """Return the predicted prefill time of a number of tokens."""
         rate = self.settings.prefill_tokens_per_second
         return tokens * self.slowness / rate
 
     def starts_at(self, now: float) -> float:
-        """Return when a prompt placed now would be started."""
+        """Return when a prompt placed now would start."""
         return max(now, self._idle_at)
 
     def add(self, stream: ids.StreamId, cost: float, now: float) -> None:
-        """Reserve time for a prompt."""
+        """Reserve prefill time for a prompt."""
         self._costs[stream] = cost
         self._idle_at = self.starts_at(now) + cost
 
     def finish(self, stream: ids.StreamId, now: float, seconds: float) -> None:
-        """Note a finished prefill.
+        """Record a finished prefill.
 
         Args:
-            stream: whose.
-            now: monotonic seconds.
-            seconds: how long it took, with its wait; 0 if not known.
+            stream: Stream of the prompt.
+            now: Monotonic seconds.
+            seconds: Duration including queueing; 0 if unknown.
         """
         cost = self._costs.pop(stream, 0.0)
-        alone = not self._costs
-        if seconds > 0 and cost > 0 and alone:
-            factor = self.slowness * seconds / cost
-            bounded = min(_MOST_RATE_FACTOR, max(_LEAST_RATE_FACTOR, factor))
+        was_only_prompt = not self._costs
+        if seconds > 0 and cost > 0 and was_only_prompt:
+            slowness = self.slowness * seconds / cost
+            bounded = min(_MAX_SLOWNESS, max(_MIN_SLOWNESS, slowness))
             self.slowness = smooth(self.slowness, bounded)
         self._idle_at = now + sum(self._costs.values())
 
     def release(self, stream: ids.StreamId, now: float) -> None:
-        """Free what was reserved for a prompt that will not finish."""
+        """Release the time reserved for a prompt that will not finish."""
         if stream in self._costs:
             self.finish(stream, now, 0.0)
 
 
 @dataclasses.dataclass(frozen=True)
 class HoldEstimate:
-    """How long a request is predicted to hold a place.
+    """Prediction of how long a request occupies a place.
 
     Attributes:
-        ends_at: predicted end, by the usual length of answers.
-        latest: end if it generates all the tokens that it may.
+        ends_at: Predicted end for an answer of typical length.
+        latest_end: End if the request generates its maximum output.
     """
 
     ends_at: float
@@ -123,14 +123,17 @@
 
 @dataclasses.dataclass
 class DecodeEngine:
-    """A decode engine.
+    """Decode engine.
 
     Attributes:
-        settings: as declared.
-        health: ejection state.
-        seconds_per_token: smoothed time between tokens.
-        usable: places that keep the time between tokens on target.
-        leaving: whether any source says that it leaves.
+        settings: Declared settings.
+        health: Ejection state.
+        seconds_per_token: Smoothed time between tokens.
+        concurrency_limit: Number of requests that keeps the time between
+            tokens on target.
+        leaving: Whether any source reports it as leaving.
+        trial_stream: Attempt that probes the engine after an ejection.
+        link: Network link with its reserved transfers.
     """
 
     settings: schema.Engine
@@ -139,10 +142,10 @@
     concurrency_limit: float
     leaving: bool = False
     trial_stream: ids.StreamId | None = None
-    _held: dict[ids.StreamId, HoldEstimate] = dataclasses.field(
+    _estimates: dict[ids.StreamId, HoldEstimate] = dataclasses.field(
         default_factory=dict
     )
-    _sorted: list[tuple[float, ids.StreamId]] = dataclasses.field(
+    _by_end: list[tuple[float, ids.StreamId]] = dataclasses.field(
         default_factory=list
     )
     link: links.Link = dataclasses.field(default_factory=links.Link)
@@ -154,80 +157,88 @@
 
     @property
     def reserved(self) -> int:
-        """Places reserved or held."""
-        return len(self._held)
+        """Number of places reserved or occupied."""
+        return len(self._estimates)
 
     @property
     def places(self) -> int:
-        """Places that may be used now."""
+        """Number of places that may be used now."""
         return max(1, round(self.concurrency_limit))
 
     def free_at(self, now: float) -> float:
-        """Return when a place is predicted to be free."""
-        self._put_off_overdue(now)
-        taken = len(self._sorted)
-        if taken < self.places:
+        """Return when a place is predicted to become free."""
+        self._extend_overdue(now)
+        held = len(self._by_end)
+        if held < self.places:
             return now
-        return self._sorted[taken - self.places][0]
+        return self._by_end[held - self.places][0]
 
-    def add(self, stream: ids.StreamId, stay: HoldEstimate) -> None:
+    def add(self, stream: ids.StreamId, estimate: HoldEstimate) -> None:
         """Reserve a place."""
-        self._held[stream] = stay
-        bisect.insort(self._sorted, (stay.ends_at, stream))
+        self._estimates[stream] = estimate
+        bisect.insort(self._by_end, (estimate.ends_at, stream))
 
-    def reschedule(self, stream: ids.StreamId, stay: HoldEstimate) -> None:
-        """Correct how long a place is held."""
-        if stream in self._held:
+    def reschedule(self, stream: ids.StreamId, estimate: HoldEstimate) -> None:
+        """Update the prediction of how long a place is occupied."""
+        if stream in self._estimates:
             self.release(stream)
-            self.add(stream, stay)
+            self.add(stream, estimate)
 
     def release(self, stream: ids.StreamId) -> None:
-        """Free a place."""
-        stay = self._held.pop(stream, None)
-        if stay is not None:
-            at = bisect.bisect_left(self._sorted, (stay.ends_at, stream))
-            del self._sorted[at]
+        """Release a place."""
+        estimate = self._estimates.pop(stream, None)
+        if estimate is not None:
+            index = bisect.bisect_left(
+                self._by_end, (estimate.ends_at, stream)
+            )
+            del self._by_end[index]
 
     def record_token_interval(
-        self, seconds: float, target: float, alone: float
+        self, seconds: float, target: float, occupancy: float
     ) -> None:
-        """Note a time between tokens and adapt the usable places.
+        """Record a time between tokens and adapt the concurrency limit.
 
         Args:
-            seconds: measured.
-            target: what the service wants.
-            alone: share of places in use at the time, 0 to 1.
+            seconds: Measured time between tokens.
+            target: Target time between tokens of the service.
+            occupancy: Fraction of places in use, 0 to 1.
         """
         if seconds <= 0:
             return
         self.seconds_per_token = smooth(self.seconds_per_token, seconds)
-        if self.seconds_per_token > target and alone > 0.5:
+        if self.seconds_per_token > target and occupancy > 0.5:
             self.concurrency_limit = max(1.0, self.concurrency_limit * 0.95)
         elif self.seconds_per_token < 0.9 * target:
             self.concurrency_limit = min(
                 self.settings.places, self.concurrency_limit + 0.1
             )
 
-    def _put_off_overdue(self, now: float) -> None:
-        """Predict again the places that should have been free by now.
+    def _extend_overdue(self, now: float) -> None:
+        """Extend the predictions of requests that should have ended by now.
 
-        A request that outlived its predicted end will end somewhere before
-        its latest one; half of what is left is the best guess.
+        Such a request ends at some time before its latest end; the estimate
+        is half of the remaining time.
         """
-        while self._sorted and self._sorted[0][0] <= now:
-            stream = self._sorted[0][1]
-            latest = self._held[stream].latest_end
-            left = max(2 * self.seconds_per_token, latest - now)
-            self.reschedule(stream, HoldEstimate(now + left / 2, latest))
+        while self._by_end and self._by_end[0][0] <= now:
+            stream = self._by_end[0][1]
+            latest_end = self._estimates[stream].latest_end
+            remaining = max(2 * self.seconds_per_token, latest_end - now)
+            self.reschedule(
+                stream, HoldEstimate(now + remaining / 2, latest_end)
+            )
 
 
 def transfer_delay(prefill: PrefillEngine, decode: DecodeEngine) -> float:
-    """Return the extra seconds of a transfer between data centres."""
-    here = prefill.settings.data_centre
-    there = decode.settings.data_centre
-    return 0.0 if here == there else _CROSS_CENTRE_SECONDS
-
-
-def call_delay(engine: schema.Engine, centre: ids.DataCentre) -> float:
-    """Return the extra seconds of calls from another data centre."""
-    return 0.0 if engine.data_centre == centre else _CROSS_CENTRE_SECONDS
+    """Return the extra transfer delay between data centres, in seconds."""
+    source = prefill.settings.data_centre
+    destination = decode.settings.data_centre
+    return 0.0 if source == destination else _INTER_DATA_CENTRE_DELAY_S
+
+
+def call_delay(engine: schema.Engine, data_centre: ids.DataCentre) -> float:
+    """Return the extra call delay from another data centre, in seconds."""
+    return (
+        0.0
+        if engine.data_centre == data_centre
+        else _INTER_DATA_CENTRE_DELAY_S
+    )
--- a/galenahatch/core/jobs.py
+++ b/galenahatch/core/jobs.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""A request that waits in a cell, and what is decided on it."""
+"""Queued requests of a cell and the decisions on them."""
 
 import dataclasses
 import typing
@@ -19,12 +19,12 @@
 from galenahatch import messages
 from galenahatch import states
 
-_PROMISED: typing.Final = ids.CallerName('')
+_TICKET_FLOW: typing.Final = ids.CallerName('')
 
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """A request that waits, with what does not change while it does."""
+    """Queued request with the values that stay constant while it waits."""
 
     request: messages.PlaceRequest
     share: float
@@ -35,23 +35,23 @@
 
     @property
     def stream(self) -> ids.StreamId:
-        """Unique id."""
+        """Unique ID."""
         return self.request.stream
 
     @property
     def caller(self) -> ids.CallerName:
-        """Flow in the queue: the caller's, or that of kept promises."""
-        return _PROMISED if self.has_ticket else self.request.caller
+        """Flow in the queue: the caller, or the flow of ticket holders."""
+        return _TICKET_FLOW if self.has_ticket else self.request.caller
 
     @property
     def urgency(self) -> states.Urgency:
-        """Its class."""
+        """Urgency class."""
         return self.request.urgency
 
 
 @dataclasses.dataclass(frozen=True)
 class Decision:
-    """What was decided on one attempt, with its explanation."""
+    """Decision on one attempt, with its explanation."""
 
     request: messages.PlaceRequest
     answer: messages.Placed | messages.GivenUp
--- a/galenahatch/core/pairing.py
+++ b/galenahatch/core/pairing.py
@@ -10,15 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Choice of a prefill and a decode engine for one request.
-
-Decode first: a prefill may begin only if, when its result is ready, a
-place on a decode engine is free and the transfer ends before the result
-is evicted. Of the pairs that allow it the one with the lowest score wins:
-the time at which decoding starts, plus the prefill time that it costs, so
-that a prefix in a cache is weighed against a shorter queue in seconds on
-both sides. With many engines only a sample is scored, always including
-the engines that have a prefix of the prompt.
+"""Selection of a prefill and a decode engine for a request.
+
+A prefill may start only if, when its result is ready, a place on a decode
+engine is free and the transfer ends before the result is evicted. Among the
+feasible pairs the lowest score wins. The score is the time until decoding
+starts plus the prefill time, so a cached prefix and a shorter queue are
+compared in the same unit, seconds. In large pools only a sample is scored,
+which always includes the engines that cache a prefix of the prompt.
 """
 
 import collections.abc
@@ -32,24 +31,24 @@
 from galenahatch import ids
 
 SAMPLE_SIZE: typing.Final = 16
-_BEST: typing.Final = 4
-_EXPLAINED_LOSERS: typing.Final = 3
-_OCCUPANCY_SECONDS: typing.Final = 0.25
-"""Score of a full decode engine against an empty one."""
+_MAX_RANKED: typing.Final = 4
+_EXPLAINED_ALTERNATIVES: typing.Final = 3
+_OCCUPANCY_PENALTY_S: typing.Final = 0.25
+"""Score difference between a full and an empty decode engine."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Requirements:
-    """What a request needs of a pair.
+    """Requirements of a request on a pair of engines.
 
     Attributes:
-        prompt_tokens: whole prompt.
-        blocks: number of prefix blocks in the prompt.
-        hits: leading blocks by engine.
-        data_centre: where the entry stands.
-        avoid: engines that failed the request before.
-        allowed: engines of the entry's site.
-        waste_weight: see schema.ModelService.
+        prompt_tokens: Number of tokens in the prompt.
+        block_count: Number of prefix blocks in the prompt.
+        hits: Number of cached leading blocks by engine.
+        data_centre: Data centre of the entry.
+        avoid: Engines that failed an earlier attempt of the request.
+        allowed: Engines that the entry's site may use.
+        waste_weight: See `schema.ModelService`.
     """
 
     prompt_tokens: int
@@ -63,14 +62,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pair:
-    """A pair of engines with the predicted course of a request on it.
+    """Pair of engines with the predicted schedule of a request.
 
     Attributes:
-        cost: seconds of prefill.
-        prefilled_at: when the result is ready.
-        sent_at: when the transfer begins.
-        arrives_at: when the transfer ends.
-        score: lower is better, seconds.
+        cost: Prefill time in seconds.
+        prefilled_at: Time at which the prefill result is ready.
+        transfer_starts_at: Time at which the transfer starts.
+        transfer_ends_at: Time at which the transfer ends.
+        score: Score in seconds; lower is better.
     """
 
     prefill: engines.PrefillEngine
@@ -84,13 +83,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Choice:
-    """Result of choosing.
+    """Result of a selection.
 
     Attributes:
-        pair: the winner, or None.
-        others: the losers, best first.
-        wait_until: without a winner, when to look again; None if there is
-            no engine at all.
+        pair: Selected pair, or None.
+        alternatives: Other feasible pairs, best first.
+        retry_at: Time to retry if no pair was selected; None if there is no
+            usable engine.
     """
 
     pair: Pair | None
@@ -98,101 +97,104 @@
     retry_at: float | None = None
 
     def explain(self, waited: float) -> str:
-        """Return why a pair won, with the scores of the best losers."""
+        """Explain the selection with the scores of the best alternatives."""
         if self.pair is None:
             return 'no pair'
-        losers = ','.join(
+        alternatives = ','.join(
             f'{other.prefill.name}+{other.decode.name}:{other.score:.3f}'
-            for other in self.alternatives[:_EXPLAINED_LOSERS]
+            for other in self.alternatives[:_EXPLAINED_ALTERNATIVES]
         )
         return (
             f'score={self.pair.score:.3f} waited={waited:.3f} '
-            f'cost={self.pair.cost:.3f} others={losers or "none"}'
+            f'cost={self.pair.cost:.3f} others={alternatives or "none"}'
         )
 
 
 def choose_pair(
-    need: Requirements,
+    needs: Requirements,
     prefills: collections.abc.Sequence[engines.PrefillEngine],
     decodes: collections.abc.Sequence[engines.DecodeEngine],
     now: float,
     lookahead: float,
     random_source: random.Random,
 ) -> Choice:
-    """Choose a pair.
+    """Select a pair of engines.
 
     Args:
-        need: of the request.
-        prefills: engines of the cell.
-        decodes: engines of the cell.
-        now: monotonic seconds.
-        lookahead: longest wait for a prefill engine to become idle; more
-            stays in the cell's queue, where order can still change.
-        random_source: for sampling.
+        needs: Requirements of the request.
+        prefills: Prefill engines of the cell.
+        decodes: Decode engines of the cell.
+        now: Monotonic seconds.
+        lookahead: Maximum seconds until a prefill engine becomes idle;
+            further requests stay in the cell's queue, where the order can
+            still change.
+        random_source: Random source for sampling.
     """
-    first = _usable_prefills(need, prefills, random_source)
-    if not first:
+    usable_prefills = _usable_prefills(needs, prefills, random_source)
+    if not usable_prefills:
         return Choice(None)
-    idle_at = min(engine.starts_at(now) for engine in first)
-    second = _usable_decodes(need, decodes, random_source)
-    if not second:
+    idle_at = min(engine.starts_at(now) for engine in usable_prefills)
+    usable_decodes = _usable_decodes(needs, decodes, random_source)
+    if not usable_decodes:
         return Choice(None)
     if idle_at > now + lookahead:
         return Choice(None, retry_at=idle_at - lookahead)
-    ranked_prefills = _rank_prefills(need, first, now, lookahead)
-    ranked_decodes = _rank_decodes(need, second, now)
-    pairs, wait_until = _score(need, ranked_prefills, ranked_decodes, now)
+    ranked_prefills = _rank_prefills(needs, usable_prefills, now, lookahead)
+    ranked_decodes = _rank_decodes(needs, usable_decodes, now)
+    pairs, retry_at = _score_pairs(needs, ranked_prefills, ranked_decodes, now)
     if not pairs:
-        return Choice(None, retry_at=wait_until)
+        return Choice(None, retry_at=retry_at)
     pairs.sort(key=lambda pair: pair.score)
     return Choice(pairs[0], tuple(pairs[1:]))
 
 
-def uncached_tokens(need: Requirements, engine: ids.EngineName) -> int:
-    """Return the prompt tokens that an engine would have to prefill."""
-    if not need.block_count:
-        return need.prompt_tokens
-    share = need.hits.get(engine, 0) / need.block_count
-    return max(1, int(need.prompt_tokens * (1 - share)))
+def uncached_tokens(needs: Requirements, engine: ids.EngineName) -> int:
+    """Return the number of prompt tokens that an engine must prefill."""
+    if not needs.block_count:
+        return needs.prompt_tokens
+    cached_fraction = needs.hits.get(engine, 0) / needs.block_count
+    return max(1, int(needs.prompt_tokens * (1 - cached_fraction)))
 
 
 def accepts_work(engine: engines.PrefillEngine | engines.DecodeEngine) -> bool:
-    """Return whether an engine takes work, be it on trial."""
+    """Return whether an engine accepts work, possibly as a trial."""
     state = engine.health.state
     return not engine.leaving and state is not health.Health.EJECTED
 
 
-def _open(engine: engines.PrefillEngine | engines.DecodeEngine) -> bool:
-    """Return whether an engine may be given one more request."""
+def _accepts_request(
+    engine: engines.PrefillEngine | engines.DecodeEngine,
+) -> bool:
+    """Return whether an engine may get another request."""
     if not accepts_work(engine):
         return False
-    on_trial = engine.health.state is health.Health.TRIAL
-    return not on_trial or engine.trial_stream is None
+    is_on_trial = engine.health.state is health.Health.TRIAL
+    return not is_on_trial or engine.trial_stream is None
 
 
 def _usable_prefills(
-    need: Requirements,
+    needs: Requirements,
     prefills: collections.abc.Sequence[engines.PrefillEngine],
     random_source: random.Random,
 ) -> list[engines.PrefillEngine]:
     sample = _sample(prefills, random_source)
     if len(sample) < len(prefills):
-        known = {engine.name for engine in sample}
+        sampled = {engine.name for engine in sample}
         sample += [
             engine
             for engine in prefills
-            if engine.name in need.hits and engine.name not in known
+            if engine.name in needs.hits and engine.name not in sampled
         ]
-    return _candidates(need, sample)
+    return _candidates(needs, sample)
 
 
 def _usable_decodes(
-    need: Requirements,
+    needs: Requirements,
     decodes: collections.abc.Sequence[engines.DecodeEngine],
     random_source: random.Random,
 ) -> list[engines.DecodeEngine]:
     sample = _sample(decodes, random_source)
-    return _candidates(need, sample)
+    return _candidates(needs, sample)
 
 
 _Pooled = typing.TypeVar(
@@ -200,20 +202,21 @@
 )
 
 
-def _candidates(need: Requirements, sample: list[_Pooled]) -> list[_Pooled]:
+def _candidates(needs: Requirements, sample: list[_Pooled]) -> list[_Pooled]:
     """Return the engines that a request may run on.
 
-    An engine that is ejected is a better try than one that has just failed
-    this very request.
+    An ejected engine is preferred to one that already failed this request.
     """
-    allowed = [e for e in sample if e.name in need.allowed and not e.leaving]
-    usable = [engine for engine in allowed if _open(engine)]
-    if not need.avoid:
+    allowed = [e for e in sample if e.name in needs.allowed and not e.leaving]
+    usable = [engine for engine in allowed if _accepts_request(engine)]
+    if not needs.avoid:
         return usable
-    fresh = [engine for engine in usable if engine.name not in need.avoid]
-    if fresh:
-        return fresh
-    return [e for e in allowed if e.name not in need.avoid] or usable
+    not_failed = [
+        engine for engine in usable if engine.name not in needs.avoid
+    ]
+    if not_failed:
+        return not_failed
+    return [e for e in allowed if e.name not in needs.avoid] or usable
 
 
 _E = typing.TypeVar('_E')
@@ -228,113 +231,129 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Start:
-    """A prefill engine with what a request would meet there."""
+class _PrefillCandidate:
+    """Prefill engine with the predictions for a request."""
 
     engine: engines.PrefillEngine
     cost: float
     prefilled_at: float
-    far: float
+    delay: float
 
 
 @dataclasses.dataclass(frozen=True)
-class _Place:
-    """A decode engine with what a request would meet there."""
+class _DecodeCandidate:
+    """Decode engine with the predictions for a request."""
 
     engine: engines.DecodeEngine
     free_at: float
     occupancy: float
-    far: float
+    delay: float
 
 
 def _rank_prefills(
-    need: Requirements,
+    needs: Requirements,
     pool: list[engines.PrefillEngine],
     now: float,
     lookahead: float,
-) -> list[_Start]:
-    starts = []
+) -> list[_PrefillCandidate]:
+    candidates = []
     for engine in pool:
         starts_at = engine.starts_at(now)
         if starts_at > now + lookahead:
             continue
-        cost = engine.cost(uncached_tokens(need, engine.name))
-        far = engines.call_delay(engine.settings, need.data_centre)
-        starts.append(_Start(engine, cost, starts_at + cost, far))
-    starts.sort(key=lambda start: start.prefilled_at + start.cost + start.far)
-    return starts[:_BEST]
+        cost = engine.cost(uncached_tokens(needs, engine.name))
+        delay = engines.call_delay(engine.settings, needs.data_centre)
+        candidates.append(
+            _PrefillCandidate(engine, cost, starts_at + cost, delay)
+        )
+    candidates.sort(
+        key=lambda candidate: (
+            candidate.prefilled_at + candidate.cost + candidate.delay
+        )
+    )
+    return candidates[:_MAX_RANKED]
 
 
 def _rank_decodes(
-    need: Requirements, pool: list[engines.DecodeEngine], now: float
-) -> list[_Place]:
-    places = []
+    needs: Requirements, pool: list[engines.DecodeEngine], now: float
+) -> list[_DecodeCandidate]:
+    candidates = []
     for engine in pool:
         free_at = engine.free_at(now)
         occupancy = engine.reserved / engine.places
-        far = engines.call_delay(engine.settings, need.data_centre)
-        places.append(_Place(engine, free_at, occupancy, far))
-    places.sort(key=lambda place: (place.free_at, place.occupancy))
-    return places[:_BEST]
+        delay = engines.call_delay(engine.settings, needs.data_centre)
+        candidates.append(_DecodeCandidate(engine, free_at, occupancy, delay))
+    candidates.sort(
+        key=lambda candidate: (candidate.free_at, candidate.occupancy)
+    )
+    return candidates[:_MAX_RANKED]
 
 
-def _score(
-    need: Requirements, starts: list[_Start], places: list[_Place], now: float
+def _score_pairs(
+    needs: Requirements,
+    prefills: list[_PrefillCandidate],
+    decodes: list[_DecodeCandidate],
+    now: float,
 ) -> tuple[list[Pair], float]:
-    """Return the pairs that are possible now, else when to look again."""
+    """Return the feasible pairs, and when to retry if there are none."""
     pairs = []
-    wait_until = float('inf')
-    for start in starts:
-        place_by = now + (start.prefilled_at - now) * (1 - need.waste_weight)
-        for place in places:
-            if place.free_at > place_by:
-                late = place.free_at - place_by
-                wait_until = min(wait_until, now + late)
+    retry_at = float('inf')
+    for prefill in prefills:
+        needed_at = now + (prefill.prefilled_at - now) * (
+            1 - needs.waste_weight
+        )
+        for decode in decodes:
+            if decode.free_at > needed_at:
+                late_by = decode.free_at - needed_at
+                retry_at = min(retry_at, now + late_by)
                 continue
-            pair, late = _course(need, start, place, now)
-            if late <= 0:
+            pair, late_by = _predict_pair(needs, prefill, decode, now)
+            if late_by <= 0:
                 pairs.append(pair)
             else:
-                wait_until = min(wait_until, now + late)
-    return pairs, wait_until
+                retry_at = min(retry_at, now + late_by)
+    return pairs, retry_at
 
 
-def _course(
-    need: Requirements, start: _Start, place: _Place, now: float
+def _predict_pair(
+    needs: Requirements,
+    source: _PrefillCandidate,
+    target: _DecodeCandidate,
+    now: float,
 ) -> tuple[Pair, float]:
-    """Predict the course of the request on a pair.
+    """Predict the schedule of a request on a pair.
 
     Returns:
-        The pair, and by how many seconds the transfer would end after the
-        result is evicted.
+        Pair, and seconds from the eviction of the result to the end of the
+        transfer.
     """
-    prefill = start.engine
-    decode = place.engine
-    size = need.prompt_tokens * prefill.settings.kv_bytes_per_token
+    prefill = source.engine
+    decode = target.engine
+    size = needs.prompt_tokens * prefill.settings.kv_bytes_per_token
     rate = min(
         prefill.settings.link_bytes_per_second,
         decode.settings.link_bytes_per_second,
     )
     transfer = size / rate + engines.transfer_delay(prefill, decode)
-    sent_at = links.earliest(
-        prefill.link, decode.link, start.prefilled_at, transfer
+    starts_at = links.earliest(
+        prefill.link, decode.link, source.prefilled_at, transfer
     )
-    arrives_at = sent_at + transfer
-    # A place that is only predicted to be free may not be.
-    predicted = place.free_at - now
-    score = arrives_at - now + start.cost + start.far + place.far + predicted
-    score += _OCCUPANCY_SECONDS * place.occupancy
+    ends_at = starts_at + transfer
+    # The prediction of when a place becomes free may be wrong.
+    wait = target.free_at - now
+    score = ends_at - now + source.cost + source.delay + target.delay + wait
+    score += _OCCUPANCY_PENALTY_S * target.occupancy
     pair = Pair(
         prefill,
         decode,
-        start.cost,
-        start.prefilled_at,
-        sent_at,
-        arrives_at,
+        source.cost,
+        source.prefilled_at,
+        starts_at,
+        ends_at,
         score,
     )
-    eviction = prefill.settings.eviction_ms / 1000
-    if transfer >= eviction:
-        # No wait can make this transfer short enough: let it try.
+    eviction_time = prefill.settings.eviction_ms / 1000
+    if transfer >= eviction_time:
+        # The transfer is too long however late it starts: try it anyway.
         return pair, 0.0
-    return pair, arrives_at - start.prefilled_at - eviction
+    return pair, ends_at - source.prefilled_at - eviction_time
--- a/galenahatch/core/pools.py
+++ b/galenahatch/core/pools.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The engines of a cell, by role, with their health."""
+"""Engine pools of a cell, by role, with their health."""
 
 import collections.abc
 import typing
@@ -27,33 +27,33 @@
 
 
 class Pools:
-    """Prefill and decode engines; times are monotonic seconds."""
+    """Pools of prefill and decode engines; times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._prefills: dict[ids.EngineName, engines.PrefillEngine] = {}
         self._decodes: dict[ids.EngineName, engines.DecodeEngine] = {}
-        self._health_at = 0.0
+        self._health_updated_at = 0.0
         self.prefills: tuple[engines.PrefillEngine, ...] = ()
         self.decodes: tuple[engines.DecodeEngine, ...] = ()
 
     def configure(
         self,
         declared: collections.abc.Iterable[schema.Engine],
-        pace_target: float,
+        token_interval: float,
     ) -> None:
-        """Take the declared engines; known ones keep their state.
+        """Apply the declared engines; known ones keep their state.
 
         Args:
-            declared: engines of the cell.
-            pace_target: seconds between tokens, first guess for new ones.
+            declared: Engines of the cell.
+            token_interval: Initial seconds between tokens of new engines.
         """
         prefills = {}
         decodes = {}
         for settings in declared:
             if settings.role == 'prefill':
-                prefills[settings.name] = self._prefill_of(settings)
+                prefills[settings.name] = self._get_or_create_prefill(settings)
             else:
-                decode = self._decode_of(settings, pace_target)
+                decode = self._get_or_create_decode(settings, token_interval)
                 decodes[settings.name] = decode
         self._prefills = prefills
         self._decodes = decodes
@@ -63,8 +63,8 @@
     def set_leaving(
         self, leaving: collections.abc.Container[ids.EngineName]
     ) -> None:
-        """Take which engines leave, from all sources together."""
-        for engine in self._all():
+        """Set which engines are leaving according to any source."""
+        for engine in self._all_engines():
             engine.leaving = engine.name in leaving
 
     def prefill(self, name: ids.EngineName) -> engines.PrefillEngine | None:
@@ -82,65 +82,70 @@
         return self._prefills.get(name) or self._decodes.get(name)
 
     def healthy_prefills(self) -> list[engines.PrefillEngine]:
-        """Return the prefill engines whose time can be counted on."""
-        return _working(self.prefills)
+        """Return the healthy prefill engines that are not leaving."""
+        return _healthy(self.prefills)
 
     def healthy_decodes(self) -> list[engines.DecodeEngine]:
-        """Return the decode engines whose places can be counted on."""
-        return _working(self.decodes)
+        """Return the healthy decode engines that are not leaving."""
+        return _healthy(self.decodes)
 
     def first_idle_at(self, now: float) -> float:
-        """Return when the first prefill engine is idle, whichever it is."""
+        """Return when the first prefill engine becomes idle."""
         idle = (engine.starts_at(now) for engine in self.prefills)
         return min(idle, default=now)
 
     def record_token_interval(
         self, decode: engines.DecodeEngine, seconds: float, target: float
     ) -> None:
-        """Note a time between tokens of one engine."""
+        """Record a time between tokens of an engine."""
         occupancy = decode.reserved / decode.places
         decode.record_token_interval(seconds, target, occupancy)
-        peers = [other.seconds_per_token for other in self.decodes]
+        peers = [peer.seconds_per_token for peer in self.decodes]
         decode.health.record_token_interval(seconds, peers)
 
     def expect_no_load_reports(self) -> None:
-        """Expect no load reports: this owner no longer asks for them."""
-        for engine in self._all():
+        """Stop expecting load reports, which this owner no longer polls."""
+        for engine in self._all_engines():
             engine.health.expect_no_reports()
 
     def update_health(self, now: float) -> None:
-        """Eject and re-admit engines, at most half of a pool out."""
-        if now - self._health_at < HEALTH_INTERVAL_S:
+        """Eject and readmit engines, keeping at least half of each pool."""
+        if now - self._health_updated_at < HEALTH_INTERVAL_S:
             return
-        self._health_at = now
-        _update(self.prefills, now)
-        _update(self.decodes, now)
+        self._health_updated_at = now
+        _update_health(self.prefills, now)
+        _update_health(self.decodes, now)
 
-    def _all(
+    def _all_engines(
         self,
     ) -> list[engines.PrefillEngine | engines.DecodeEngine]:
         return [*self.prefills, *self.decodes]
 
-    def _prefill_of(self, settings: schema.Engine) -> engines.PrefillEngine:
+    def _get_or_create_prefill(
+        self, settings: schema.Engine
+    ) -> engines.PrefillEngine:
         known = self._prefills.get(settings.name)
         if known is None:
             return engines.PrefillEngine(settings, health.EngineHealth())
         known.settings = settings
         return known
 
-    def _decode_of(
-        self, settings: schema.Engine, pace_target: float
+    def _get_or_create_decode(
+        self, settings: schema.Engine, token_interval: float
     ) -> engines.DecodeEngine:
         known = self._decodes.get(settings.name)
         if known is None:
             return engines.DecodeEngine(
-                settings, health.EngineHealth(), pace_target, settings.places
+                settings,
+                health.EngineHealth(),
+                token_interval,
+                settings.places,
             )
         known.settings = settings
         return known
 
 
-def _working(pool: collections.abc.Iterable[_Pooled]) -> list[_Pooled]:
+def _healthy(pool: collections.abc.Iterable[_Pooled]) -> list[_Pooled]:
     return [
         engine
         for engine in pool
@@ -148,11 +153,15 @@
     ]
 
 
-def _update(pool: collections.abc.Sequence[_Pooled], now: float) -> None:
-    out = sum(engine.health.state is not health.Health.GOOD for engine in pool)
+def _update_health(
+    pool: collections.abc.Sequence[_Pooled], now: float
+) -> None:
+    ejected = sum(
+        engine.health.state is not health.Health.GOOD for engine in pool
+    )
     for engine in pool:
-        may_eject = (out + 1) / len(pool) <= health.MAX_EJECTED_SHARE
-        before = engine.health.state
-        after = engine.health.update(now, may_eject)
-        if before is health.Health.GOOD and after is not before:
-            out += 1
+        may_eject = (ejected + 1) / len(pool) <= health.MAX_EJECTED_SHARE
+        previous = engine.health.state
+        current = engine.health.update(now, may_eject)
+        if previous is health.Health.GOOD and current is not previous:
+            ejected += 1
--- a/galenahatch/core/reservations.py
+++ b/galenahatch/core/reservations.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Engines held for attempts, and how a new owner learns of them.
+"""Reservations of engines for attempts, and their recovery by a new owner.
 
-An entry confirms its attempts with every report; a reservation without a
-sign of its entry lapses. A new owner adopts what entries report.
+An entry confirms its attempts with every report; a reservation that is not
+confirmed in time expires. A new owner adopts the attempts that entries report.
 """
 
 import collections.abc
@@ -28,13 +28,13 @@
 from galenahatch import states
 
 CONFIRM_TIMEOUT_S: typing.Final = 30.0
-"""Seconds after which a reservation without a sign lapses."""
-_LAPSE_EVERY: typing.Final = 1.0
+"""Seconds after which an unconfirmed reservation expires."""
+_EXPIRY_INTERVAL_S: typing.Final = 1.0
 
 
 @dataclasses.dataclass
 class Reservation:
-    """Engines held for one attempt."""
+    """Engines reserved for one attempt."""
 
     stream: ids.StreamId
     entry: ids.MemberId
@@ -52,44 +52,44 @@
     """Reservations of a cell; times are monotonic seconds.
 
     Args:
-        engines_of: engines of the cell.
-        predicted: how long places are held.
+        engine_pools: Engine pools of the cell.
+        estimator: Estimator of how long places are occupied.
     """
 
     def __init__(
-        self, engines_of: pools.Pools, predicted: waits.WaitEstimator
+        self, engine_pools: pools.Pools, estimator: waits.WaitEstimator
     ) -> None:
-        self._pools = engines_of
-        self._waits = predicted
-        self._held: dict[ids.StreamId, Reservation] = {}
-        self._lapsed_at = 0.0
+        self._pools = engine_pools
+        self._estimator = estimator
+        self._by_stream: dict[ids.StreamId, Reservation] = {}
+        self._expired_at = 0.0
 
     @property
     def by_stream(self) -> collections.abc.Mapping[ids.StreamId, Reservation]:
         """Reservations by stream."""
-        return self._held
+        return self._by_stream
 
     def get(self, stream: ids.StreamId) -> Reservation | None:
-        """Return a reservation."""
-        return self._held.get(stream)
+        """Return the reservation of a stream, or None."""
+        return self._by_stream.get(stream)
 
     def reserve(
         self, request: messages.PlaceRequest, pair: pairing.Pair, now: float
     ) -> None:
         """Reserve a pair of engines, and their links."""
         stream = request.stream
-        stay = self._waits.estimate_hold(
+        estimate = self._estimator.estimate_hold(
             pair.decode, request.output_tokens, pair.transfer_ends_at
         )
         pair.prefill.add(stream, pair.cost, now)
-        pair.decode.add(stream, stay)
+        pair.decode.add(stream, estimate)
         pair.prefill.link.reserve(
             pair.transfer_starts_at, pair.transfer_ends_at, now
         )
         pair.decode.link.reserve(
             pair.transfer_starts_at, pair.transfer_ends_at, now
         )
-        self._held[stream] = Reservation(
+        self._by_stream[stream] = Reservation(
             stream=stream,
             entry=request.entry,
             prefill=pair.prefill.name,
@@ -103,45 +103,45 @@
         )
 
     def release(self, stream: ids.StreamId, now: float) -> Reservation | None:
-        """Free what an attempt held, and return what that was."""
-        reservation = self._held.pop(stream, None)
+        """Release and return the reservation of an attempt."""
+        reservation = self._by_stream.pop(stream, None)
         if reservation is not None:
             self._free(reservation, now)
         return reservation
 
     def release_entry(self, entry: ids.MemberId, now: float) -> None:
-        """Free everything of an entry."""
-        for stream, reservation in list(self._held.items()):
+        """Release all reservations of an entry."""
+        for stream, reservation in list(self._by_stream.items()):
             if reservation.entry == entry:
                 self.release(stream, now)
 
     def reconcile(self, report: messages.HeldReport, now: float) -> None:
-        """Take an entry's complete report: add, confirm and drop."""
-        reported = {one.stream: one for one in report.held}
-        for stream, reservation in list(self._held.items()):
+        """Add, confirm and drop reservations by an entry's full report."""
+        reported = {held.stream: held for held in report.held}
+        for stream, reservation in list(self._by_stream.items()):
             if reservation.entry != report.entry:
                 continue
             if stream in reported:
                 reservation.confirmed_at = now
             elif now - reservation.placed_at > CONFIRM_TIMEOUT_S / 2:
                 self.release(stream, now)
-        for one in report.held:
-            if one.stream not in self._held:
-                self._adopt(report.entry, one, now)
+        for held in report.held:
+            if held.stream not in self._by_stream:
+                self._adopt(report.entry, held, now)
 
     def expire(self, now: float) -> list[ids.StreamId]:
-        """Drop reservations without a sign of their entry."""
-        if now - self._lapsed_at < _LAPSE_EVERY:
+        """Drop and return reservations that were not confirmed in time."""
+        if now - self._expired_at < _EXPIRY_INTERVAL_S:
             return []
-        self._lapsed_at = now
-        lapsed = [
+        self._expired_at = now
+        expired = [
             stream
-            for stream, reservation in self._held.items()
+            for stream, reservation in self._by_stream.items()
             if now - reservation.confirmed_at > CONFIRM_TIMEOUT_S
         ]
-        for stream in lapsed:
+        for stream in expired:
             self.release(stream, now)
-        return lapsed
+        return expired
 
     def _free(self, reservation: Reservation, now: float) -> None:
         prefill = self._pools.prefill(reservation.prefill)
@@ -156,26 +156,28 @@
                 decode.trial_stream = None
 
     def _adopt(
-        self, entry: ids.MemberId, one: messages.Held, now: float
+        self, entry: ids.MemberId, held: messages.Held, now: float
     ) -> None:
-        """Reserve for an attempt that another owner placed."""
-        prefill = self._pools.prefill(one.prefill)
-        decode = self._pools.decode(one.decode)
+        """Reserve engines for an attempt that another owner placed."""
+        prefill = self._pools.prefill(held.prefill)
+        decode = self._pools.decode(held.decode)
         if decode is None:
             return
-        stay = self._waits.estimate_hold(decode, one.output_tokens, now)
-        decode.add(one.stream, stay)
-        if prefill is not None and one.stage is states.Stage.PREFILL:
-            prefill.add(one.stream, prefill.cost(one.prompt_tokens), now)
-        self._held[one.stream] = Reservation(
-            stream=one.stream,
+        estimate = self._estimator.estimate_hold(
+            decode, held.output_tokens, now
+        )
+        decode.add(held.stream, estimate)
+        if prefill is not None and held.stage is states.Stage.PREFILL:
+            prefill.add(held.stream, prefill.cost(held.prompt_tokens), now)
+        self._by_stream[held.stream] = Reservation(
+            stream=held.stream,
             entry=entry,
-            prefill=one.prefill,
-            decode=one.decode,
-            prompt_tokens=one.prompt_tokens,
-            output_tokens=one.output_tokens,
+            prefill=held.prefill,
+            decode=held.decode,
+            prompt_tokens=held.prompt_tokens,
+            output_tokens=held.output_tokens,
             blocks=(),
-            stage=one.stage,
+            stage=held.stage,
             placed_at=now,
             confirmed_at=now,
         )
--- a/galenahatch/core/waits.py
+++ b/galenahatch/core/waits.py
@@ -10,77 +10,81 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Predicted waits of a cell."""
+"""Prediction of wait times in a cell."""
 
 import typing
 
 from galenahatch.core import engines
 from galenahatch.core import pools
 
-_FIRST_LENGTH_SHARE: typing.Final = 0.5
-_LEAST_RATE: typing.Final = 0.1
-_LEAST_COST: typing.Final = 1e-4
+_INITIAL_LENGTH_FRACTION: typing.Final = 0.5
+_MIN_RATE: typing.Final = 0.1
+_MIN_COST_S: typing.Final = 1e-4
 
 
 class WaitEstimator:
-    """Averages of how long requests hold places, and what follows.
+    """Predicts wait times from averages of how long places are occupied.
 
     Args:
-        engines_of: engines of the cell.
+        engine_pools: Engine pools of the cell.
     """
 
-    def __init__(self, engines_of: pools.Pools) -> None:
-        self._pools = engines_of
-        self._length_share = _FIRST_LENGTH_SHARE
+    def __init__(self, engine_pools: pools.Pools) -> None:
+        self._pools = engine_pools
+        self._length_fraction = _INITIAL_LENGTH_FRACTION
         self._hold_seconds = 0.0
 
     def record_completion(
-        self, tokens: int, allowed: int, held: float
+        self, tokens: int, max_tokens: int, held_s: float
     ) -> None:
-        """Note an attempt that ended well.
+        """Record a successful attempt.
 
         Args:
-            tokens: that it generated.
-            allowed: that it might have.
-            held: seconds from its placement to its end.
+            tokens: Number of generated tokens.
+            max_tokens: Maximum number of output tokens.
+            held_s: Seconds from its placement to its end.
         """
-        share = min(1.0, tokens / max(1, allowed))
-        self._length_share = engines.smooth(self._length_share, share)
-        before = self._hold_seconds or held
-        self._hold_seconds = engines.smooth(before, held)
+        fraction = min(1.0, tokens / max(1, max_tokens))
+        self._length_fraction = engines.smooth(self._length_fraction, fraction)
+        previous_hold = self._hold_seconds or held_s
+        self._hold_seconds = engines.smooth(previous_hold, held_s)
 
     def prefill_cost(self, tokens: int) -> float:
-        """Return the seconds of a prefill on the fastest engine."""
+        """Return the prefill time on the fastest engine, in seconds."""
         costs = (engine.cost(tokens) for engine in self._pools.prefills)
         return min(costs, default=0.0)
 
     def min_first_token_delay(self, tokens: int) -> float:
-        """Return the least seconds from a prefill to the first token."""
+        """Return the minimum seconds from a prefill to the first token."""
         if not self._pools.prefills:
             return 0.0
         settings = self._pools.prefills[0].settings
         size = tokens * settings.kv_bytes_per_token
-        paces = (d.seconds_per_token for d in self._pools.decodes)
-        return size / settings.link_bytes_per_second + min(paces, default=0.0)
+        token_intervals = (d.seconds_per_token for d in self._pools.decodes)
+        return size / settings.link_bytes_per_second + min(
+            token_intervals, default=0.0
+        )
 
     def estimate_hold(
-        self, decode: engines.DecodeEngine, output_tokens: int, since: float
+        self, decode: engines.DecodeEngine, output_tokens: int, start: float
     ) -> engines.HoldEstimate:
-        """Predict how long a request holds a place from some time on."""
-        longest = max(1, output_tokens) * decode.seconds_per_token
-        usual = longest * self._length_share
-        return engines.HoldEstimate(since + usual, since + longest)
+        """Predict when a request that takes a place at `start` ends."""
+        max_duration = max(1, output_tokens) * decode.seconds_per_token
+        expected_duration = max_duration * self._length_fraction
+        return engines.HoldEstimate(
+            start + expected_duration, start + max_duration
+        )
 
     def admission_rate(self) -> float:
-        """Return how many requests a second the cell can take in."""
-        working = self._pools.healthy_decodes()
-        places = sum(decode.places for decode in working)
-        return max(_LEAST_RATE, places / (self._hold_seconds or 1.0))
+        """Return the number of requests per second that can be admitted."""
+        decodes = self._pools.healthy_decodes()
+        places = sum(decode.places for decode in decodes)
+        return max(_MIN_RATE, places / (self._hold_seconds or 1.0))
 
     def expected_prefill_wait(
         self,
         cost: float,
-        ahead: float,
+        work_ahead: float,
         queued: int,
         waste_weight: float,
         now: float,
@@ -88,31 +92,37 @@
         """Return the predicted seconds until a request's prefill starts.
 
         Args:
-            cost: seconds of its prefill.
-            ahead: seconds of prefill that are served before it.
-            queued: requests that wait.
-            waste_weight: see schema.ModelService.
-            now: monotonic seconds.
+            cost: Prefill time of the request in seconds.
+            work_ahead: Seconds of prefill that are served first.
+            queued: Number of queued requests.
+            waste_weight: See `schema.ModelService`.
+            now: Monotonic seconds.
         """
-        working = self._pools.healthy_prefills()
-        idle = [engine.starts_at(now) - now for engine in working]
-        prefill_wait = min(idle, default=0.0) + ahead / max(1, len(idle))
-        before = min(ahead / max(cost, _LEAST_COST), queued)
-        place_wait = self._place_wait(cost, before, waste_weight, now)
+        prefills = self._pools.healthy_prefills()
+        idle_waits = [engine.starts_at(now) - now for engine in prefills]
+        prefill_wait = min(idle_waits, default=0.0) + work_ahead / max(
+            1, len(idle_waits)
+        )
+        requests_ahead = min(work_ahead / max(cost, _MIN_COST_S), queued)
+        place_wait = self._place_wait(cost, requests_ahead, waste_weight, now)
         return max(prefill_wait, place_wait)
 
     def _place_wait(
-        self, cost: float, before: float, waste_weight: float, now: float
+        self,
+        cost: float,
+        requests_ahead: float,
+        waste_weight: float,
+        now: float,
     ) -> float:
-        """Return the predicted wait for a decode place."""
-        working = self._pools.healthy_decodes()
-        free = sum(max(0, d.places - d.reserved) for d in working)
-        behind = before - free
-        if behind < 0:
+        """Return the predicted wait for a decode place, in seconds."""
+        decodes = self._pools.healthy_decodes()
+        free_places = sum(max(0, d.places - d.reserved) for d in decodes)
+        shortfall = requests_ahead - free_places
+        if shortfall < 0:
             return 0.0
         rate = self.admission_rate()
-        soonest = now + 1 / rate
-        for decode in working:
-            soonest = min(soonest, decode.free_at(now))
-        lead = cost * (1 - waste_weight)
-        return max(0.0, soonest - now - lead) + behind / rate
+        first_free_at = now + 1 / rate
+        for decode in decodes:
+            first_free_at = min(first_free_at, decode.free_at(now))
+        lead_time = cost * (1 - waste_weight)
+        return max(0.0, first_free_at - now - lead_time) + shortfall / rate
