--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -10,9 +10,9 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What becomes of a request that can't be placed now: kept, or refused.
+"""Admission of requests that can't be placed yet: queue or refuse.
 
-A refusal promises when there is room; see `core/dispatch` for the reasons.
+A refusal carries the time of expected capacity; `core/dispatch` explains why.
 """
 
 import typing
@@ -25,24 +25,26 @@
 from galenahatch.core import returns as returns_module
 from galenahatch.core import waiting
 
-_CAUTION: typing.Final = 1.3
-"""Times the predicted wait that a request must have left to be kept. What is
-kept and not served costs more than what is refused at once and comes back;
-predictions are off by about a third."""
+_WAIT_SAFETY_FACTOR: typing.Final = 1.3
+"""Multiple of the predicted wait that a queued request must have left.
+
+A queued request that is never served costs more than one that is refused at
+once and retried, and predictions are off by about a third.
+"""
 
 Job = generations.Job
 
 
 class Admission:
-    """Decides on requests of one service.
+    """Queues or refuses the requests of one service.
 
     Args:
-        pool: its engines.
-        queue: requests that wait.
-        forecast: tells how long they will wait.
-        returns: callers that were promised room.
-        division: of the engines, which hears of shortages.
-        limiter: of engines that name the rate of requests that they take.
+        pool: Engines of the service.
+        queue: Waiting requests.
+        forecast: Predictor of queue waits.
+        returns: Callers that were told when to retry.
+        division: Division of the engines, notified of shortages.
+        limiter: Limiter for engines that announce a request rate.
     """
 
     def __init__(
@@ -61,40 +63,44 @@
         self._division = division
         self._limiter = limiter
 
-    def _until_room(self, job: Job, before: int, now: float) -> float:
-        """Return the seconds for which all engines' wishes hold a job up.
+    def _engine_limit_wait(
+        self, job: Job, requests_ahead: int, now: float
+    ) -> float:
+        """Return the seconds until some engine's limits admit a job.
 
-        That is, the limits that they name and the pauses that they ask for.
+        Both announced rate limits and requested pauses count.
 
         Args:
-            job: that wants a decode engine.
-            before: requests that are served before it, beside the queue.
-            now: monotonic seconds.
+            job: Job that needs a decode engine.
+            requests_ahead: Requests served first, in addition to the queue.
+            now: Monotonic seconds.
         """
         if self._limiter.is_idle and not job.paused:
             return 0.0
         engines = self._pool.usable_decodes(job, now)
         if not engines:
-            ends = (job.paused.get(key, now) for key in self._pool.decodes)
-            return max(0.0, min(ends, default=now) - now)
-        found = [engine.upstream.id for engine in engines]
-        requests = len(self._queue) + before + 1
-        return self._limiter.wait(found, requests, now)
+            pause_ends = (
+                job.paused.get(key, now) for key in self._pool.decodes
+            )
+            return max(0.0, min(pause_ends, default=now) - now)
+        upstream_ids = [engine.upstream.id for engine in engines]
+        requests = len(self._queue) + requests_ahead + 1
+        return self._limiter.wait(upstream_ids, requests, now)
 
     def is_limited(self, job: Job, now: float) -> bool:
-        """Return whether the wishes of engines let no run start in time."""
-        wait = self._until_room(job, self._returns.due(now), now)
+        """Return whether engine limits delay a job past its start time."""
+        wait = self._engine_limit_wait(job, self._returns.due(now), now)
         return wait > 0 and now + wait > job.start_by
 
     def queue_or_refuse(
         self, job: Job, now: float
     ) -> generations.Refused | None:
-        """Decide on a request that could not be placed so far."""
+        """Queue or refuse a request that could not be placed."""
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
         if job.kept:
             return None
-        wait = _CAUTION * self._forecast.wait(job, 1, now)
+        wait = _WAIT_SAFETY_FACTOR * self._forecast.wait(job, 1, now)
         if now + wait > waiting.limit(job):
             return self.queue_late(job, wait, now)
         self._queue.keep(job)
@@ -103,41 +109,42 @@
     def queue_late(
         self, job: Job, wait: float, now: float
     ) -> generations.Refused | None:
-        """Keep a request that can't start in time, or give it up.
+        """Queue a request that can't start in time, or refuse it.
 
-        Served late beats not served, and held in vain is worse than both.
-        Where engines are at their limits, those in time take all the room.
+        A late response is better than none, but queueing a request that is
+        never served is worse than both. While engines are at their limits,
+        requests that can still start in time use all the capacity.
         """
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
-        owed = 1 + self._returns.due(now)
-        late = self._forecast.late_wait(job, owed, now)
-        is_in_vain = now + late > job.leaves_at
-        if is_in_vain and not self._queue.is_probe(job, now):
+        promised = 1 + self._returns.due(now)
+        late_wait = self._forecast.late_wait(job, promised, now)
+        is_too_late = now + late_wait > job.leaves_at
+        if is_too_late and not self._queue.is_probe(job, now):
             return self.refuse(job, self._forecast.why(job, wait), now)
         self._queue.keep(job, is_late=True)
         return None
 
-    def refuse(self, job: Job, why: str, now: float) -> generations.Refused:
-        """Give a request up, and promise when there is room for it."""
+    def refuse(self, job: Job, reason: str, now: float) -> generations.Refused:
+        """Refuse a request and tell its caller when to retry."""
         self._division.is_short(now)
-        rate = self._forecast.rate()
-        queued = len(self._queue) / rate if rate else 0.0
-        # Who was told to come later than its caller can wait does not come.
-        until_room = max(
-            self._until_room(job, 0, now),
+        service_rate = self._forecast.rate()
+        queue_wait = len(self._queue) / service_rate if service_rate else 0.0
+        # Callers told to retry after their own deadline do not retry.
+        limit_wait = max(
+            self._engine_limit_wait(job, 0, now),
             min(
-                self._until_room(job, self._returns.promised, now),
+                self._engine_limit_wait(job, self._returns.promised, now),
                 job.deadline - now,
             ),
         )
-        queued = max(queued, self._pool.next_trial(now), until_room)
+        queue_wait = max(queue_wait, self._pool.next_trial(now), limit_wait)
         wait = self._returns.promise(
             job.subject,
             self._forecast.spare(now),
-            queued,
+            queue_wait,
             job.deadline - now,
             job.arrived_at,
             now,
         )
-        return generations.Refused(job, max(wait, until_room), why)
+        return generations.Refused(job, max(wait, limit_wait), reason)
--- a/galenahatch/core/fairness.py
+++ b/galenahatch/core/fairness.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Weighted fair queue with two levels.
+"""Two-level weighted fair queue.
 
-The first level divides capacity between the urgency classes, the second
-between the callers of one class. Both use stride scheduling: each flow has
-a virtual time that advances by cost over weight when it is served, and the
-flow that is furthest behind is served next. A class with little traffic is
-so always served at once, and none starves.
+The first level divides capacity among the urgency classes, the second among
+the callers of one class. Both use stride scheduling: serving a flow advances
+its virtual time by cost over weight, and the flow with the lowest virtual
+time is served next. A class with little traffic is therefore served
+immediately, and no class starves.
 """
 
 import collections
@@ -34,19 +34,19 @@
 
 
 class Item(typing.Protocol):
-    """What can wait in the queue."""
+    """Protocol of a queued request."""
 
     @property
     def stream(self) -> ids.StreamId:
-        """Unique id."""
+        """Unique ID."""
 
     @property
     def caller(self) -> ids.CallerName:
-        """Flow within the class."""
+        """Caller, which identifies the flow within the class."""
 
     @property
     def urgency(self) -> states.Urgency:
-        """Class."""
+        """Urgency class."""
 
     @property
     def share(self) -> float:
@@ -54,150 +54,171 @@
 
     @property
     def cost(self) -> float:
-        """Work in seconds of an engine."""
+        """Cost in seconds of engine time."""
 
 
 _I = typing.TypeVar('_I', bound=Item)
 
 
 class _Flow(typing.Generic[_I]):
-    """Requests of one caller in one class."""
+    """Queued requests of one caller in one class."""
 
     def __init__(self) -> None:
         self.items: collections.deque[_I] = collections.deque()
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.cost = 0.0
         self.share = 1.0
-        self.queued = False
+        self.in_heap = False
 
 
 class _Class(typing.Generic[_I]):
-    """Flows of one urgency."""
+    """Flows of one urgency class."""
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
-        self.virtual = 0.0
-        self.flow_virtual = 0.0
+        self.virtual_time = 0.0
+        self.flow_virtual_time = 0.0
         self.flows: dict[ids.CallerName, _Flow[_I]] = {}
-        self.heap: list[tuple[float, ids.CallerName]] = []
+        self.flow_heap: list[tuple[float, ids.CallerName]] = []
         self.cost = 0.0
         self.count = 0
-        self.shares = 0.0
+        self.total_share = 0.0
 
 
 class FairQueue(typing.Generic[_I]):
-    """Requests that wait for a place."""
+    """Fair queue of requests that wait for a place."""
 
     def __init__(self) -> None:
         self._classes: dict[states.Urgency, _Class[_I]] = {
             urgency: _Class(weight)
             for urgency, weight in CLASS_WEIGHTS.items()
         }
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._by_stream: dict[ids.StreamId, _I] = {}
 
     def __len__(self) -> int:
         return len(self._by_stream)
 
     def push(self, item: _I) -> None:
-        """Add a request behind those of its caller and class."""
-        level = self._classes[item.urgency]
-        if not level.count:
-            level.virtual = max(level.virtual, self._virtual)
-        flow = level.flows.get(item.caller)
+        """Append a request to the flow of its caller and class."""
+        urgency_class = self._classes[item.urgency]
+        if not urgency_class.count:
+            urgency_class.virtual_time = max(
+                urgency_class.virtual_time, self._virtual_time
+            )
+        flow = urgency_class.flows.get(item.caller)
         if flow is None:
-            flow = level.flows[item.caller] = _Flow()
+            flow = urgency_class.flows[item.caller] = _Flow()
         if not flow.items:
-            flow.virtual = max(flow.virtual, level.flow_virtual)
+            flow.virtual_time = max(
+                flow.virtual_time, urgency_class.flow_virtual_time
+            )
             flow.share = item.share
-            level.shares += item.share
-        if not flow.queued:
-            flow.queued = True
-            heapq.heappush(level.heap, (flow.virtual, item.caller))
+            urgency_class.total_share += item.share
+        if not flow.in_heap:
+            flow.in_heap = True
+            heapq.heappush(
+                urgency_class.flow_heap, (flow.virtual_time, item.caller)
+            )
         flow.items.append(item)
         flow.cost += item.cost
-        level.cost += item.cost
-        level.count += 1
+        urgency_class.cost += item.cost
+        urgency_class.count += 1
         self._by_stream[item.stream] = item
 
     def heads(self) -> list[_I]:
-        """Return the first request of each class, next to serve first."""
-        waiting = [c for c in self._classes.values() if c.count]
-        waiting.sort(key=lambda level: level.virtual)
-        return [self._next_flow(level).items[0] for level in waiting]
+        """Return the next request of each class, in order of service."""
+        waiting = [
+            urgency_class
+            for urgency_class in self._classes.values()
+            if urgency_class.count
+        ]
+        waiting.sort(key=lambda urgency_class: urgency_class.virtual_time)
+        return [
+            self._next_flow(urgency_class).items[0]
+            for urgency_class in waiting
+        ]
 
     def serve(self, item: _I) -> None:
-        """Remove one of the heads and charge its flow."""
-        level = self._classes[item.urgency]
-        flow = self._next_flow(level)
-        self._virtual = max(self._virtual, level.virtual)
-        level.virtual += item.cost / level.weight
-        level.flow_virtual = flow.virtual
-        flow.virtual += item.cost / item.share
-        heapq.heapreplace(level.heap, (flow.virtual, item.caller))
-        self._take_out(item)
+        """Remove a head of the queue and charge its flow and class."""
+        urgency_class = self._classes[item.urgency]
+        flow = self._next_flow(urgency_class)
+        self._virtual_time = max(
+            self._virtual_time, urgency_class.virtual_time
+        )
+        urgency_class.virtual_time += item.cost / urgency_class.weight
+        urgency_class.flow_virtual_time = flow.virtual_time
+        flow.virtual_time += item.cost / item.share
+        heapq.heapreplace(
+            urgency_class.flow_heap, (flow.virtual_time, item.caller)
+        )
+        self._remove_item(item)
 
     def remove(self, stream: ids.StreamId) -> _I | None:
-        """Remove a request wherever it waits; None when it does not."""
+        """Remove a request; return it, or None if it is not queued."""
         item = self._by_stream.get(stream)
         if item is not None:
-            self._take_out(item)
+            self._remove_item(item)
         return item
 
     def count_waiting(self, caller: ids.CallerName) -> int:
-        """Return how many requests of a caller wait."""
+        """Return the number of queued requests of a caller."""
         return sum(
-            len(level.flows[caller].items)
-            for level in self._classes.values()
-            if caller in level.flows
+            len(urgency_class.flows[caller].items)
+            for urgency_class in self._classes.values()
+            if caller in urgency_class.flows
         )
 
     def work_ahead(self, item: _I) -> float:
-        """Return the work that is served before a new request.
+        """Return the work that is served before a new request, in seconds.
 
-        It is the smaller of two bounds: everything of this class and the
-        more urgent ones, and the caller's own work stretched by the share
-        that the others take.
+        To the work of the more urgent classes this adds the smaller of two
+        bounds: all work of the request's own class, and the caller's own work
+        scaled up by the weight of the other callers.
         """
-        level = self._classes[item.urgency]
-        flow = level.flows.get(item.caller)
-        own = flow.cost if flow else 0.0
-        others = level.shares - (flow.share if flow and flow.items else 0.0)
-        stretch = (others + item.share) / item.share
-        within = min(level.cost, own * stretch + item.cost * (stretch - 1))
-        return within + self._above(item.urgency)
+        urgency_class = self._classes[item.urgency]
+        flow = urgency_class.flows.get(item.caller)
+        own_work = flow.cost if flow else 0.0
+        other_shares = urgency_class.total_share - (
+            flow.share if flow and flow.items else 0.0
+        )
+        stretch = (other_shares + item.share) / item.share
+        class_work = min(
+            urgency_class.cost, own_work * stretch + item.cost * (stretch - 1)
+        )
+        return class_work + self._more_urgent_work(item.urgency)
 
     def items(self) -> typing.Iterator[_I]:
-        """Iterate over all requests, in no special order."""
+        """Iterate over all requests in arbitrary order."""
         return iter(list(self._by_stream.values()))
 
-    def _above(self, urgency: states.Urgency) -> float:
+    def _more_urgent_work(self, urgency: states.Urgency) -> float:
         return sum(
-            level.cost
-            for other, level in self._classes.items()
-            if other < urgency
+            urgency_class.cost
+            for other_urgency, urgency_class in self._classes.items()
+            if other_urgency < urgency
         )
 
-    def _next_flow(self, level: _Class[_I]) -> _Flow[_I]:
+    def _next_flow(self, urgency_class: _Class[_I]) -> _Flow[_I]:
         while True:
-            _, caller = level.heap[0]
-            flow = level.flows[caller]
+            _, caller = urgency_class.flow_heap[0]
+            flow = urgency_class.flows[caller]
             if flow.items:
                 return flow
-            heapq.heappop(level.heap)
-            flow.queued = False
+            heapq.heappop(urgency_class.flow_heap)
+            flow.in_heap = False
 
-    def _take_out(self, item: _I) -> None:
-        level = self._classes[item.urgency]
-        flow = level.flows[item.caller]
+    def _remove_item(self, item: _I) -> None:
+        urgency_class = self._classes[item.urgency]
+        flow = urgency_class.flows[item.caller]
         flow.items.remove(item)
         flow.cost -= item.cost
-        level.cost -= item.cost
-        level.count -= 1
+        urgency_class.cost -= item.cost
+        urgency_class.count -= 1
         if not flow.items:
-            level.shares -= flow.share
+            urgency_class.total_share -= flow.share
             flow.cost = 0.0
-        if not level.count:
-            level.cost = 0.0
-            level.shares = 0.0
+        if not urgency_class.count:
+            urgency_class.cost = 0.0
+            urgency_class.total_share = 0.0
         del self._by_stream[item.stream]
--- a/galenahatch/core/headroom.py
+++ b/galenahatch/core/headroom.py
@@ -10,16 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Prefill time and decode places that are left for urgent requests.
-
-A prefill can't be interrupted, so long prompts on every engine would make
-an urgent request miss its target however far ahead it is in the queue. A
-less urgent prefill may start only if the engines still have, within the
-time that an urgent request can wait, as much free time as urgent requests
-have lately needed, and as many free places as urgent requests have lately
-come in that time. One less urgent request a second is let through all the
-same, so that none starves. The margin below one is from the comparison of
-policies: at 1.0 nothing is gained for urgent requests, and bulk ones lose.
+"""Prefill time and decode places reserved for urgent requests.
+
+A prefill can't be preempted, so long prompts on every engine would make an
+urgent request miss its target even at the head of the queue. A less urgent
+prefill may start only if, within the time that an urgent request can wait,
+the engines retain as much free time as recent urgent requests needed and as
+many free places as recent urgent requests arrived. One less urgent request
+per second is admitted regardless, to prevent starvation. The factor is below
+one because at 1.0 urgent requests gain nothing and bulk requests lose.
 """
 
 import collections.abc
@@ -29,64 +28,68 @@
 from galenahatch.core import pairing
 from galenahatch.core import pools
 
-_MEMORY: typing.Final = 10.0
-"""Seconds over which urgent work is averaged."""
+_AVERAGING_S: typing.Final = 10.0
+"""Time constant of the averages of urgent work, in seconds."""
 _SMOOTHING: typing.Final = 0.1
-_LONGEST_SLACK: typing.Final = 1.0
-"""Urgent requests that can wait longer find places as others end."""
+_MAX_SLACK_S: typing.Final = 1.0
+"""Urgent requests that can wait longer get places as others end."""
 LESS_URGENT_INTERVAL_S: typing.Final = 1.0
-"""Seconds after which one less urgent request is let through anyway."""
+"""Seconds after which one less urgent request is admitted regardless."""
 HEADROOM_FACTOR: typing.Final = 0.7
 
 
 class Headroom:
-    """Urgent work seen lately; times are monotonic seconds."""
+    """Moving averages of urgent work; times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self._work = 0.0
-        self._rate = 0.0
-        self._at = 0.0
+        self._prefill_load = 0.0
+        self._request_rate = 0.0
+        self._updated_at = 0.0
         self._slack = 0.0
-        self._lower_at = 0.0
+        self._less_urgent_at = 0.0
 
     def record_less_urgent(self, now: float) -> None:
-        """Note that a less urgent request was placed."""
-        self._lower_at = now
+        """Record the placement of a less urgent request."""
+        self._less_urgent_at = now
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether a less urgent request is due, headroom or not."""
-        return now - self._lower_at > LESS_URGENT_INTERVAL_S
+        """Return whether a less urgent request must be admitted."""
+        return now - self._less_urgent_at > LESS_URGENT_INTERVAL_S
 
     def record_urgent(self, cost: float, slack: float, now: float) -> None:
-        """Note an urgent request.
+        """Record an urgent request.
 
         Args:
-            cost: seconds of prefill.
-            slack: seconds that its prefill can wait.
-            now: monotonic seconds.
+            cost: Prefill time in seconds.
+            slack: Seconds that its prefill can wait.
+            now: Monotonic seconds.
         """
-        fading = self._fading(now)
-        self._work = self._work * fading + cost / _MEMORY
-        self._rate = self._rate * fading + 1 / _MEMORY
-        self._at = now
+        decay = self._decay(now)
+        self._prefill_load = self._prefill_load * decay + cost / _AVERAGING_S
+        self._request_rate = self._request_rate * decay + 1 / _AVERAGING_S
+        self._updated_at = now
         if slack > 0:
-            slack = min(slack, _LONGEST_SLACK)
-            before = self._slack or slack
-            self._slack = before + _SMOOTHING * (slack - before)
+            slack = min(slack, _MAX_SLACK_S)
+            previous_slack = self._slack or slack
+            self._slack = previous_slack + _SMOOTHING * (
+                slack - previous_slack
+            )
 
     def permits(
-        self, engines_of: pools.Pools, pair: pairing.Pair, now: float
+        self, engine_pools: pools.Pools, pair: pairing.Pair, now: float
     ) -> bool:
-        """Return whether a less urgent request may have a pair now."""
+        """Return whether a less urgent request may use a pair now."""
         if self.is_overdue(now):
             return True
-        working = engines_of.healthy_decodes()
-        places = sum(decode.places - decode.reserved for decode in working)
-        if places - 1 < self.places_to_reserve(now):
+        decodes = engine_pools.healthy_decodes()
+        free_places = sum(
+            decode.places - decode.reserved for decode in decodes
+        )
+        if free_places - 1 < self.places_to_reserve(now):
             return False
         waits = [
             engine.starts_at(now) - now
-            for engine in engines_of.healthy_prefills()
+            for engine in engine_pools.healthy_prefills()
             if engine is not pair.prefill
         ]
         if not waits:
@@ -100,19 +103,24 @@
         """Return whether engines have enough free time for urgent work.
 
         Args:
-            waits: seconds until each engine is idle.
-            now: monotonic seconds.
+            waits: Seconds until each engine is idle.
+            now: Monotonic seconds.
         """
-        needed = self._work * self._fading(now) * self._slack * HEADROOM_FACTOR
+        needed = (
+            self._prefill_load
+            * self._decay(now)
+            * self._slack
+            * HEADROOM_FACTOR
+        )
         if needed <= 0:
             return True
-        free = sum(max(0.0, self._slack - wait) for wait in waits)
-        return free >= needed
+        free_time = sum(max(0.0, self._slack - wait) for wait in waits)
+        return free_time >= needed
 
     def places_to_reserve(self, now: float) -> float:
-        """Return how many decode places to leave free."""
-        return self._rate * self._fading(now) * self._slack
+        """Return the number of decode places to leave free."""
+        return self._request_rate * self._decay(now) * self._slack
 
-    def _fading(self, now: float) -> float:
-        """Return what is left of the averages since the last request."""
-        return math.exp(-(now - self._at) / _MEMORY)
+    def _decay(self, now: float) -> float:
+        """Return the decay factor of the averages since their last update."""
+        return math.exp(-(now - self._updated_at) / _AVERAGING_S)
--- a/galenahatch/core/health.py
+++ b/galenahatch/core/health.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Whether an engine is given work: ejection and trial re-admission.
+"""Outlier ejection of engines, with readmission by trial requests.
 
-Errors in a row, silence, or times between tokens far above those of its
-peers eject an engine. It is tried again with one request after a pause
-that doubles with each failed trial. At most half of a pool is ejected at
-a time: with more than that out, the cause is likely elsewhere, and piling
-all work on the rest would take them down too.
+An engine is ejected after consecutive errors, when its load reports stop, or
+when its times between tokens are far above those of its peers. After a pause
+that doubles with each failed trial, one request probes it. At most half of a
+pool is ejected at a time: if more engines fail, the cause is probably
+elsewhere, and sending all work to the rest would overload them too.
 """
 
 import enum
@@ -33,7 +33,7 @@
 
 
 class Health(enum.Enum):
-    """State of one engine."""
+    """Ejection state of an engine."""
 
     GOOD = 'good'
     EJECTED = 'ejected'
@@ -45,75 +45,75 @@
 
     def __init__(self) -> None:
         self.state = Health.GOOD
-        self._errors = 0
-        self._slow = 0
-        self._pause = FIRST_EJECTION_S
-        self._until = 0.0
-        self._heard_at: float | None = None
+        self._consecutive_errors = 0
+        self._slow_samples = 0
+        self._ejection_s = FIRST_EJECTION_S
+        self._ejected_until = 0.0
+        self._reported_at: float | None = None
 
     def record_success(self, now: float) -> None:
-        """Note an attempt that the engine served."""
-        self._errors = 0
-        self._heard_at = now
+        """Record a successful attempt."""
+        self._consecutive_errors = 0
+        self._reported_at = now
         if self.state is Health.TRIAL:
             self.state = Health.GOOD
-            self._pause = FIRST_EJECTION_S
+            self._ejection_s = FIRST_EJECTION_S
 
     def record_report(self, now: float) -> None:
-        """Note a load report."""
-        self._heard_at = now
+        """Record a load report."""
+        self._reported_at = now
 
     def expect_no_reports(self) -> None:
-        """Expect no load reports until the next one."""
-        self._heard_at = None
+        """Stop expecting load reports until the next one arrives."""
+        self._reported_at = None
 
     def record_failure(self, now: float) -> None:
-        """Note an attempt that the engine failed."""
-        self._errors += 1
+        """Record a failed attempt."""
+        self._consecutive_errors += 1
         if self.state is Health.TRIAL:
-            self._pause = min(self._pause * 2, MAX_EJECTION_S)
+            self._ejection_s = min(self._ejection_s * 2, MAX_EJECTION_S)
             self._eject(now)
 
     def record_token_interval(
         self, seconds: float, peers: list[float]
     ) -> None:
-        """Note a time between tokens beside those of its peers."""
+        """Compare a time between tokens with those of the engine's peers."""
         if len(peers) < 2:
             return
-        usual = statistics.median(peers)
-        slow = seconds > SLOW_FACTOR * usual
-        self._slow = self._slow + 1 if slow else 0
+        median = statistics.median(peers)
+        is_slow = seconds > SLOW_FACTOR * median
+        self._slow_samples = self._slow_samples + 1 if is_slow else 0
 
     def should_eject(self, now: float) -> bool:
         """Return whether the engine should be ejected."""
         if self.state is not Health.GOOD:
             return False
-        silent = (
-            self._heard_at is not None
-            and now - self._heard_at > SILENCE_TIMEOUT_S
+        is_silent = (
+            self._reported_at is not None
+            and now - self._reported_at > SILENCE_TIMEOUT_S
         )
         return (
-            silent
-            or self._errors >= EJECT_AFTER_ERRORS
-            or self._slow >= EJECT_AFTER_SLOW_SAMPLES
+            is_silent
+            or self._consecutive_errors >= EJECT_AFTER_ERRORS
+            or self._slow_samples >= EJECT_AFTER_SLOW_SAMPLES
         )
 
     def update(self, now: float, may_eject: bool) -> Health:
-        """Move between states and return the state.
+        """Update and return the state.
 
         Args:
-            now: monotonic seconds.
-            may_eject: whether enough of the pool is left.
+            now: Monotonic seconds.
+            may_eject: Whether the pool permits another ejection.
         """
-        if self.state is Health.EJECTED and now >= self._until:
+        if self.state is Health.EJECTED and now >= self._ejected_until:
             self.state = Health.TRIAL
-            self._errors = 0
-            self._slow = 0
-            self._heard_at = now
+            self._consecutive_errors = 0
+            self._slow_samples = 0
+            self._reported_at = now
         elif may_eject and self.should_eject(now):
             self._eject(now)
         return self.state
 
     def _eject(self, now: float) -> None:
         self.state = Health.EJECTED
-        self._until = now + self._pause
+        self._ejected_until = now + self._ejection_s
--- a/galenahatch/core/promises.py
+++ b/galenahatch/core/promises.py
@@ -10,14 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Promises of room to callers that were given up.
-
-A request that is given up gets a ticket with its `Retry-After`. Work that
-was promised counts as ahead of new requests of its class and of less
-urgent ones, so that these are not let in at its cost, and a caller that
-comes back in time with its ticket is served before the others of its
-class. A promise that nobody redeems lapses; promises count by the share
-that is redeemed lately.
+"""Retry tickets that reserve capacity for callers of rejected requests.
+
+A rejected request gets a ticket with its `Retry-After`. Work promised by
+tickets counts as ahead of new requests of the same and less urgent classes,
+so that these are not admitted at its expense. A caller that retries in time
+with its ticket is served before the others of its class. Unredeemed tickets
+expire; promised work is weighted by the recent fraction of redeemed tickets.
 """
 
 import dataclasses
@@ -26,12 +25,12 @@
 from galenahatch import states
 
 GRACE_S: typing.Final = 5.0
-"""Seconds for which a promise is kept after its time."""
+"""Seconds for which a ticket stays valid after it is due."""
 EARLY_S: typing.Final = 0.5
-"""Seconds by which a caller may be early."""
+"""Seconds by which a ticket may be redeemed early."""
 MAX_TICKETS: typing.Final = 5000
-_SHARE: typing.Final = 0.5
-"""Share of the cell's intake that is promised at most."""
+_MAX_PROMISED_SHARE: typing.Final = 0.5
+"""Maximum fraction of the cell's admission rate promised by tickets."""
 
 
 _SMOOTHING: typing.Final = 0.05
@@ -39,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Ticket:
-    """Room promised for one request."""
+    """Ticket that promises capacity for one request."""
 
     due: float
     cost: float
@@ -47,15 +46,15 @@
 
 
 class Tickets:
-    """Outstanding promises; times are monotonic seconds."""
+    """Outstanding tickets; times are monotonic seconds."""
 
     def __init__(self) -> None:
-        self._due: dict[str, Ticket] = {}
+        self._tickets: dict[str, Ticket] = {}
         self._last_due = 0.0
-        self._redeemed = 0.0
+        self._redeemed_share = 0.0
 
     def __len__(self) -> int:
-        return len(self._due)
+        return len(self._tickets)
 
     def issue(
         self,
@@ -66,59 +65,60 @@
         urgency: states.Urgency,
         now: float,
     ) -> float:
-        """Promise room and return in how many seconds.
+        """Issue a ticket and return the seconds until it is due.
 
         Args:
-            ticket: fresh id of the promise.
-            wait: predicted seconds until there is room.
-            rate: requests a second that the cell takes in.
-            cost: prefill seconds of the request.
-            urgency: its class.
-            now: monotonic seconds.
+            ticket: New ID of the ticket.
+            wait: Predicted seconds until there is capacity.
+            rate: Requests per second that the cell admits.
+            cost: Prefill time of the request in seconds.
+            urgency: Urgency class of the request.
+            now: Monotonic seconds.
         """
-        self._forget(now)
-        due = max(now + wait, self._last_due + 1 / (rate * _SHARE))
-        if len(self._due) < MAX_TICKETS:
-            self._due[ticket] = Ticket(due, cost, urgency)
+        self._drop_expired(now)
+        due = max(
+            now + wait, self._last_due + 1 / (rate * _MAX_PROMISED_SHARE)
+        )
+        if len(self._tickets) < MAX_TICKETS:
+            self._tickets[ticket] = Ticket(due, cost, urgency)
             self._last_due = due
         return due - now
 
     def redeem(self, ticket: str, now: float) -> bool:
-        """Return whether a ticket is good now; it is used up then."""
-        promise = self._due.get(ticket)
-        if promise is None or now < promise.due - EARLY_S:
+        """Use up a ticket that is due; return whether it is valid."""
+        entry = self._tickets.get(ticket)
+        if entry is None or now < entry.due - EARLY_S:
             return False
-        del self._due[ticket]
-        if now > promise.due + GRACE_S:
+        del self._tickets[ticket]
+        if now > entry.due + GRACE_S:
             return False
-        self._note(1.0)
+        self._record_outcome(1.0)
         return True
 
     def promised_work(
         self, until: float, urgency: states.Urgency, now: float
     ) -> float:
-        """Return the prefill seconds that come before a new request.
+        """Return the promised prefill seconds ahead of a new request.
 
         Args:
-            until: when the new request must start.
-            urgency: its class.
-            now: monotonic seconds.
+            until: Time at which the new request must start.
+            urgency: Urgency class of the new request.
+            now: Monotonic seconds.
         """
-        promised = sum(
-            promise.cost
-            for promise in self._due.values()
-            if now - GRACE_S <= promise.due <= until
-            and promise.urgency <= urgency
+        work = sum(
+            entry.cost
+            for entry in self._tickets.values()
+            if now - GRACE_S <= entry.due <= until and entry.urgency <= urgency
         )
-        return promised * self._redeemed
+        return work * self._redeemed_share
 
-    def _note(self, redeemed: float) -> None:
-        self._redeemed += _SMOOTHING * (redeemed - self._redeemed)
+    def _record_outcome(self, sample: float) -> None:
+        self._redeemed_share += _SMOOTHING * (sample - self._redeemed_share)
 
-    def _forget(self, now: float) -> None:
-        """Forget the promises that lapsed; they are in order of time."""
-        for ticket, promise in list(self._due.items()):
-            if promise.due + GRACE_S >= now:
+    def _drop_expired(self, now: float) -> None:
+        """Drop expired tickets, which are ordered by due time."""
+        for ticket, entry in list(self._tickets.items()):
+            if entry.due + GRACE_S >= now:
                 return
-            del self._due[ticket]
-            self._note(0.0)
+            del self._tickets[ticket]
+            self._record_outcome(0.0)
