--- a/galenahatch/core/customers.py
+++ b/galenahatch/core/customers.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Customers: who calls, known by a key, and what each may use.
+"""Customers, their API keys and quotas.
 
-A key is looked up by its digest, so that the table neither shows keys nor
-tells by its timing how much of a guessed key was right.
+Keys are looked up by digest, so that the table does not reveal keys and
+lookup times do not reveal how much of a guessed key is correct.
 """
 
 import dataclasses
@@ -26,12 +26,14 @@
 from galenahatch import ids
 
 _DIGEST_DIGITS: typing.Final = 16
-_BEARER: typing.Final = re.compile(r'[Bb][Ee][Aa][Rr][Ee][Rr](?:[ \t]+(.*))?')
-_KEY: typing.Final = re.compile(r'[\x21-\x7e]+')
+_BEARER_PATTERN: typing.Final = re.compile(
+    r'[Bb][Ee][Aa][Rr][Ee][Rr](?:[ \t]+(.*))?'
+)
+_KEY_PATTERN: typing.Final = re.compile(r'[\x21-\x7e]+')
 
 
 class Unit(enum.Enum):
-    """What a quota counts."""
+    """Unit that a quota counts."""
 
     REQUESTS = 'requests'
     TOKENS = 'tokens'
@@ -39,11 +41,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Quota:
-    """A token bucket: what a customer may use over all VMs.
+    """Token bucket that limits a customer's use across all VMs.
 
     Attributes:
-        rate: units a second.
-        burst: units that may be used at once.
+        rate: Units per second.
+        burst: Maximum units that may be used at once.
     """
 
     rate: float
@@ -52,13 +54,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Customer:
-    """One customer.
+    """Customer with its keys and quota.
 
     Attributes:
-        keys: digests of its keys.
-        priority: goes before that of a route; None for the route's.
-        quota: None for no limit.
-        plain_tokens: that a request counts as if it states no sizes.
+        keys: Digests of the customer's keys.
+        priority: Priority that overrides that of a route; None for no
+            override.
+        quota: Quota, or None for no limit.
+        default_tokens: Tokens counted for a request that states no sizes.
     """
 
     name: ids.CustomerName
@@ -69,11 +72,11 @@
     default_tokens: float = 0.0
 
     def cost(self, tokens: int | None) -> float:
-        """Return the units that a request counts as.
+        """Return the quota units that a request uses.
 
         Args:
-            tokens: of its prompt and at most of its answer; None if it
-                states none.
+            tokens: Tokens of the prompt plus the maximum output tokens; None
+                if the request states no sizes.
         """
         if self.unit is Unit.REQUESTS:
             return 1.0
@@ -81,10 +84,10 @@
 
 
 class Customers:
-    """The customers of one configuration.
+    """Customers of one configuration.
 
     Args:
-        customers: with names and keys that differ.
+        customers: Customers with distinct names and keys.
     """
 
     def __init__(self, customers: typing.Iterable[Customer]) -> None:
@@ -97,21 +100,21 @@
 
     @property
     def by_name(self) -> typing.Mapping[ids.CustomerName, Customer]:
-        """All customers."""
+        """All customers by name."""
         return self._by_name
 
     @property
     def key_count(self) -> int:
-        """How many keys there are."""
+        """Number of keys."""
         return len(self._by_key)
 
     def find_by_key(self, key: ids.KeyDigest) -> Customer | None:
-        """Return the customer that holds a key."""
+        """Return the customer with a key, or None if it is unknown."""
         return self._by_key.get(key)
 
 
 def key_digest(key: str) -> ids.KeyDigest:
-    """Return what stands for a key."""
+    """Return the digest of a key."""
     data = key.encode(errors='surrogateescape')
     return ids.KeyDigest(hashlib.sha256(data).hexdigest()[:_DIGEST_DIGITS])
 
@@ -121,27 +124,32 @@
     credentials: typing.Sequence[str],
     is_anonymous: bool,
 ) -> Customer | errors.Failure | None:
-    """Return who calls; None for nobody in particular.
+    """Authenticate a caller; return None for an anonymous one.
 
-    A key that nobody holds is refused on every route: who sends one means to
-    be known, and a key that was taken away opens nothing any more.
+    An unknown key is rejected on every route, including those that allow
+    anonymous callers: its sender expects to be identified, and a revoked key
+    must not grant access.
 
     Args:
-        customers: of the configuration in force.
-        credentials: values of all `Authorization` headers of the request.
-        is_anonymous: whether the route takes callers without a key.
+        customers: Customers of the active configuration.
+        credentials: Values of all `Authorization` headers of the request.
+        is_anonymous: Whether the route allows callers without a key.
     """
     if len(credentials) > 1:
         detail = f'{len(credentials)} Authorization headers'
         return errors.Failure(errors.UNAUTHORIZED, detail)
-    bearer = _BEARER.fullmatch(credentials[0].strip()) if credentials else None
+    bearer = (
+        _BEARER_PATTERN.fullmatch(credentials[0].strip())
+        if credentials
+        else None
+    )
     if bearer is None:
         if is_anonymous:
             return None
         detail = 'no bearer token' if credentials else 'no key'
         return errors.Failure(errors.UNAUTHORIZED, detail)
     key = bearer.group(1) or ''
-    if not _KEY.fullmatch(key):
+    if not _KEY_PATTERN.fullmatch(key):
         return errors.Failure(errors.UNAUTHORIZED, 'malformed key')
     customer = customers.find_by_key(key_digest(key))
     if customer is None:
--- a/galenahatch/core/incarnations.py
+++ b/galenahatch/core/incarnations.py
@@ -10,17 +10,17 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Which start of an upstream is meant.
+"""Incarnations of upstreams.
 
-An upstream may start again under the id that it registers with. It then
-holds nothing of before: no runs, no KV cache, no orders. Whatever is kept
-about an upstream is therefore kept by its incarnation, the id together with
-the moment of the start. Two moments are two upstreams that share an address
-and an id on the wire, so a new start forgets by itself what was known of the
-one before, and news of that one changes nothing.
+An upstream may restart under the same instance ID and then has no runs, no
+KV cache and no orders. State of an upstream is therefore keyed by its
+incarnation: the instance ID plus the start time. Two incarnations are
+distinct upstreams that share an address and an ID on the wire, so a restart
+implicitly discards earlier state, and late messages about an earlier
+incarnation have no effect.
 
-An incarnation travels through messages and logs as text, `id@born`. An
-upstream that does not tell when it started goes by its id alone.
+Messages and logs carry an incarnation as text, `id@born`. An upstream that
+does not report its start time is identified by its instance ID alone.
 """
 
 import typing
@@ -28,36 +28,38 @@
 from galenahatch import ids
 
 UNKNOWN_START: typing.Final = 0
-"""Stands for the start of an upstream that does not tell it."""
-_MARK: typing.Final = '@'
+"""Start time of an upstream that does not report one."""
+_SEPARATOR: typing.Final = '@'
 
 
-def upstream_id(instance: ids.InstanceId, born: int) -> ids.UpstreamId:
-    """Return the incarnation of an instance.
+def upstream_id(
+    instance_name: ids.InstanceId, start_ms: int
+) -> ids.UpstreamId:
+    """Return the ID of an incarnation.
 
     Args:
-        instance: id under which it registers.
-        born: Unix milliseconds of its start, or `UNKNOWN`.
+        instance_name: Instance ID that the upstream registers with.
+        start_ms: Start time in Unix milliseconds, or `UNKNOWN_START`.
     """
-    if born == UNKNOWN_START and _MARK not in instance:
-        return ids.UpstreamId(instance)
-    return ids.UpstreamId(f'{instance}{_MARK}{born}')
+    if start_ms == UNKNOWN_START and _SEPARATOR not in instance_name:
+        return ids.UpstreamId(instance_name)
+    return ids.UpstreamId(f'{instance_name}{_SEPARATOR}{start_ms}')
 
 
 def instance_id(upstream: ids.UpstreamId) -> ids.InstanceId:
-    """Return the id on the wire."""
-    name, mark, moment = upstream.rpartition(_MARK)
-    is_told = bool(mark) and moment.isdecimal()
-    return ids.InstanceId(name if is_told else upstream)
+    """Return the instance ID, which is used on the wire."""
+    name, separator, start = upstream.rpartition(_SEPARATOR)
+    has_start = bool(separator) and start.isdecimal()
+    return ids.InstanceId(name if has_start else upstream)
 
 
 def started_ms(upstream: ids.UpstreamId) -> int:
-    """Return the Unix milliseconds of the start, or `UNKNOWN`."""
-    _, mark, moment = upstream.rpartition(_MARK)
-    return int(moment) if mark and moment.isdecimal() else UNKNOWN_START
+    """Return the start time in Unix milliseconds, or `UNKNOWN_START`."""
+    _, separator, start = upstream.rpartition(_SEPARATOR)
+    return int(start) if separator and start.isdecimal() else UNKNOWN_START
 
 
 def is_later_start(upstream: ids.UpstreamId, other: ids.UpstreamId) -> bool:
-    """Return whether an upstream is a later start of another's instance."""
-    is_same = instance_id(upstream) == instance_id(other)
-    return is_same and started_ms(upstream) > started_ms(other)
+    """Return whether an upstream is a later incarnation of another."""
+    is_same_instance = instance_id(upstream) == instance_id(other)
+    return is_same_instance and started_ms(upstream) > started_ms(other)
--- a/galenahatch/core/pauses.py
+++ b/galenahatch/core/pauses.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Pauses that upstreams ask one VM for when they turn its requests away.
+"""Pauses requested by upstreams when they reject requests of a VM.
 
-A pause concerns the VM that was told: upstreams tell each one by itself. It
-lasts a little longer than was asked for, by chance, so that VMs that were
-turned away at the same moment don't come back at the same moment.
+A pause applies only to the VM that received it; an upstream sends one to each
+VM separately. Random jitter extends each pause slightly, so that VMs rejected
+at the same time don't retry at the same time.
 
-Times are monotonic seconds; there is no input or output here.
+Times are monotonic seconds. This module does no I/O.
 """
 
 import random
@@ -25,17 +25,17 @@
 from galenahatch import ids
 
 MAX_PAUSE_S: typing.Final = 300.0
-"""Seconds after which an upstream is tried in any case: one bad answer must
-not take it out for good."""
-_SPREAD: typing.Final = 0.2
-"""Part of a pause by which it may be longer."""
+"""Maximum pause in seconds, so that one bad response can't disable an
+upstream permanently."""
+_JITTER: typing.Final = 0.2
+"""Maximum jitter as a fraction of the pause."""
 
 
 class Pauses:
-    """What one VM was asked for.
+    """Pauses requested from one VM.
 
     Args:
-        random_source: spreads the ends.
+        random_source: Random source for the jitter.
     """
 
     def __init__(self, random_source: random.Random) -> None:
@@ -45,17 +45,17 @@
     def start(
         self, upstream: ids.UpstreamId, seconds: float, now: float
     ) -> None:
-        """Take what an upstream asks for; an earlier pause is not cut."""
-        spread = 1 + _SPREAD * self._random.random()
-        until = now + min(MAX_PAUSE_S, seconds) * spread
+        """Start or extend the pause of an upstream, never shorten it."""
+        jitter_factor = 1 + _JITTER * self._random.random()
+        until = now + min(MAX_PAUSE_S, seconds) * jitter_factor
         self._until[upstream] = max(until, self._until.get(upstream, 0.0))
 
     def remaining(self, upstream: ids.UpstreamId, now: float) -> float:
-        """Return the seconds that are left of a pause; 0 if there is none."""
+        """Return the remaining seconds of a pause; 0 if there is none."""
         return max(0.0, self._until.get(upstream, 0.0) - now)
 
     def active(self, now: float) -> dict[ids.UpstreamId, float]:
-        """Return the seconds that are left of each pause; drop old ones."""
+        """Drop expired pauses and return the remaining seconds of others."""
         self._until = {
             upstream: until
             for upstream, until in self._until.items()
--- a/galenahatch/core/restores.py
+++ b/galenahatch/core/restores.py
@@ -10,21 +10,20 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What to believe of a list that comes from an older copy of the store.
+"""Reconciliation of an entry list after the store was restored from a backup.
 
-The copy lists entries again that were removed since it was made, and lacks
-those that were written since. Upstreams that live write theirs again, and the
-store removes those of upstreams that don't, but both takes seconds. Until
-then
+A backup still lists entries that were removed after it was made, and lacks
+entries written after it. Live upstreams rewrite their entries and the store
+removes those of dead upstreams, but both take seconds. Until then:
 
-- an entry that was known as gone stays so (it is doubted), unless its number
-  is higher than the one at which it went, which only a later write can have,
-  or a change of it is seen;
-- an entry that is lacking is kept if it appeared at a higher number than all
-  that the copy has: it can't have been removed, only lost.
+- A listed entry that was known to be gone is suspect and not used, unless its
+  version number is higher than that of its removal, which only a later write
+  can have, or a change of it is observed.
+- A missing entry is retained if it appeared at a higher version number than
+  the backup's: it can't have been removed, only lost.
 
-After a while the list is believed as it stands. Times are monotonic seconds;
-there is no input or output here.
+After a delay the list is accepted as it is. Times are monotonic seconds. This
+module does no I/O.
 """
 
 import collections.abc
@@ -32,20 +31,21 @@
 import typing
 
 RETENTION_S: typing.Final = 2.0
-"""Seconds within which the platform promises that upstreams which live have
-written their entries again."""
-_HEARTBEATS: typing.Final = 3
-"""Heartbeats of an upstream without which the store removes its entry."""
+"""Seconds within which the platform guarantees that live upstreams have
+rewritten their entries."""
+_MISSED_HEARTBEATS: typing.Final = 3
+"""Missed heartbeats after which the store removes an upstream's entry."""
 
 
 @dataclasses.dataclass(frozen=True)
 class KnownEntry:
-    """What is known of an entry.
+    """Known state of an entry.
 
     Attributes:
-        number: of the store's version at its last change.
-        gone: whether it names nothing to use.
-        since: number at which it appeared; 0 if that was not seen.
+        number: Store version number of the entry's last change.
+        is_gone: Whether the entry names no usable upstream.
+        appeared_at: Store version number at which the entry appeared; 0 if
+            that was not observed.
     """
 
     number: int
@@ -54,83 +54,90 @@
 
 
 class RestoreReconciler:
-    """Entries of a restored list that are not believed yet.
+    """Tracks the suspect and retained entries after a restore.
 
     Args:
-        heartbeat: seconds between two writes of an upstream's entry.
+        heartbeat: Seconds between two writes of an upstream's entry.
     """
 
     def __init__(self, heartbeat: float) -> None:
-        self._doubt = RETENTION_S + _HEARTBEATS * heartbeat
-        # Up to which number an entry is doubted, and until when.
-        self._doubted: dict[str, tuple[int, float]] = {}
-        # Number at which an entry appeared, and until when it counts.
-        self._kept: dict[str, tuple[int, float]] = {}
+        self._suspect_s = RETENTION_S + _MISSED_HEARTBEATS * heartbeat
+        # Maximum version number at which an entry is suspect, and the time
+        # until which it is.
+        self._suspects: dict[str, tuple[int, float]] = {}
+        # Version number at which an entry appeared, and the time until which
+        # it is retained.
+        self._retained: dict[str, tuple[int, float]] = {}
 
     @property
     def is_settled(self) -> bool:
-        """Whether all is believed as it is listed."""
-        return not self._doubted and not self._kept
+        """Whether no entry is suspect or retained."""
+        return not self._suspects and not self._retained
 
     @property
     def retained(self) -> collections.abc.Set[str]:
-        """Entries that count though they are not listed."""
-        return self._kept.keys()
+        """Entries that remain in use although they are not listed."""
+        return self._retained.keys()
 
     def reconcile(
         self,
-        before: collections.abc.Mapping[str, KnownEntry],
+        previous: collections.abc.Mapping[str, KnownEntry],
         listed: collections.abc.Mapping[str, int],
-        newest: int,
+        list_number: int,
         now: float,
     ) -> None:
-        """Compare the first list after a restore with what was known.
+        """Compare the first list after a restore with the known entries.
 
         Args:
-            before: entries as they were known.
-            listed: number of each entry in the list.
-            newest: number of the version as of which the list is.
-            now: monotonic seconds.
+            previous: Known entries before the restore.
+            listed: Version number of each listed entry.
+            list_number: Store version number of the list.
+            now: Monotonic seconds.
         """
-        known = {
-            **before,
+        entries = {
+            **previous,
             **{
                 key: KnownEntry(n, False, n)
-                for key, (n, _) in self._kept.items()
+                for key, (n, _) in self._retained.items()
             },
             **{
                 key: KnownEntry(n, True)
-                for key, (n, _) in self._doubted.items()
+                for key, (n, _) in self._suspects.items()
             },
         }
-        self._doubted = {
-            key: (known[key].number, now + self._doubt)
+        self._suspects = {
+            key: (entries[key].number, now + self._suspect_s)
             for key, number in listed.items()
-            if key in known
-            and known[key].is_gone
-            and number <= known[key].number
+            if key in entries
+            and entries[key].is_gone
+            and number <= entries[key].number
         }
-        self._kept = {
+        self._retained = {
             key: (entry.appeared_at, now + RETENTION_S)
-            for key, entry in known.items()
+            for key, entry in entries.items()
             if key not in listed
             and not entry.is_gone
-            and entry.appeared_at > newest
+            and entry.appeared_at > list_number
         }
 
     def is_suspect(self, key: str, number: int) -> bool:
-        """Return whether an entry of a list is not to be used yet."""
-        return key in self._doubted and number <= self._doubted[key][0]
+        """Return whether a listed entry must not be used yet."""
+        return key in self._suspects and number <= self._suspects[key][0]
 
     def record_change(self, key: str) -> None:
-        """Note that a change of an entry was seen."""
-        self._doubted.pop(key, None)
-        self._kept.pop(key, None)
+        """Record an observed change, which settles an entry."""
+        self._suspects.pop(key, None)
+        self._retained.pop(key, None)
 
     def expire(self, now: float) -> tuple[list[str], list[str]]:
-        """Return entries that are no longer doubted, or no longer kept."""
-        believed = [k for k, (_, at) in self._doubted.items() if at <= now]
-        lost = [key for key, (_, at) in self._kept.items() if at <= now]
-        for key in believed + lost:
+        """Settle and return entries no longer suspect or no longer retained.
+
+        Returns:
+            Keys of listed entries that are now accepted, and keys of missing
+            entries that are now dropped.
+        """
+        accepted = [k for k, (_, at) in self._suspects.items() if at <= now]
+        dropped = [key for key, (_, at) in self._retained.items() if at <= now]
+        for key in accepted + dropped:
             self.record_change(key)
-        return believed, lost
+        return accepted, dropped
--- a/galenahatch/core/retry.py
+++ b/galenahatch/core/retry.py
@@ -12,9 +12,9 @@
 
 """Retry budget and backoff.
 
-A budget allows a fixed share of retries per request that succeeds, with a
-small reserve: when an engine or a data centre goes, retries stay a small
-part of the traffic in place of multiplying it.
+A retry budget earns a fixed fraction of a retry per successful request and is
+capped at a small reserve, so that retries stay a small part of the traffic
+instead of multiplying it when an engine or a data centre fails.
 """
 
 import random
@@ -26,34 +26,34 @@
 
 
 class RetryBudget:
-    """Retries left for one service.
+    """Retry budget of one service.
 
     Args:
-        share: retries earned by each request that succeeds.
+        share: Retries earned by each successful request.
     """
 
     def __init__(self, share: float) -> None:
         self._share = share
-        self._left = BUDGET_RESERVE
+        self._balance = BUDGET_RESERVE
 
     def earn(self) -> None:
-        """Note a request that succeeded."""
-        self._left = min(BUDGET_RESERVE, self._left + self._share)
+        """Credit a successful request."""
+        self._balance = min(BUDGET_RESERVE, self._balance + self._share)
 
     def spend(self) -> bool:
-        """Take one retry; return False when none is left."""
-        if self._left < 1:
+        """Spend one retry; return False if the budget is exhausted."""
+        if self._balance < 1:
             return False
-        self._left -= 1
+        self._balance -= 1
         return True
 
 
 def backoff(attempt: int, random_source: random.Random) -> float:
-    """Return seconds to wait before a retry, with full jitter.
+    """Return the exponential delay before a retry, in seconds, with jitter.
 
     Args:
-        attempt: number of the failed attempt, from 1.
-        random_source: where the jitter comes from.
+        attempt: Number of the failed attempt, starting at 1.
+        random_source: Random source for the jitter.
     """
-    longest = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10))
-    return random_source.uniform(INITIAL_BACKOFF_S / 2, longest)
+    max_delay = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(attempt, 10))
+    return random_source.uniform(INITIAL_BACKOFF_S / 2, max_delay)
--- a/galenahatch/core/revision.py
+++ b/galenahatch/core/revision.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The configuration in force: it only ever moves to higher revisions.
+"""Active configuration, whose revision only increases.
 
-The table holds a head: the revision, the id of the change that made it and
-where its body stands. A daemon takes an accepted configuration from the
-table or from a peer alike and keeps the highest, so a stale read or an old
-peer never reverts one.
+The table stores a head: the revision, the ID of the change that created it,
+and the digest of its body. A daemon accepts configurations from both the
+table and peers and keeps the highest revision, so a stale read or an outdated
+peer never reverts it.
 """
 
 import hashlib
@@ -31,14 +31,14 @@
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
-    """The newest accepted change, as it stands in the table.
+    """Record of the latest accepted change in the table.
 
     Attributes:
-        revision: number of the change.
-        change: id of the attempt that was accepted.
-        digest: of the encoded bundle, names its body in the object store.
-        author: who applied it.
-        note: one line on the change.
+        revision: Revision created by the change.
+        change: ID of the accepted attempt.
+        digest: Digest of the encoded bundle, part of its object key.
+        author: Author of the change.
+        note: One-line description of the change.
     """
 
     revision: ids.Revision
@@ -49,7 +49,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, array_like=True):
-    """An accepted configuration with its head."""
+    """Accepted configuration with its head."""
 
     head: Head
     bundle: schema.Bundle
@@ -61,7 +61,7 @@
 
 
 def history_key(revision: int) -> str:
-    """Return the table key of one past head."""
+    """Return the table key of the head of a past revision."""
     return f'config/history/{revision:012d}'
 
 
@@ -76,17 +76,17 @@
 
 
 def encode(value: Head | Accepted | schema.Bundle) -> bytes:
-    """Return the bytes of a head, a configuration or a bundle."""
+    """Encode a head, an accepted configuration or a bundle."""
     return msgspec.msgpack.encode(value, order='sorted')
 
 
 def decode_head(data: bytes) -> Head | errors.Failure:
-    """Return the head of some bytes."""
+    """Decode a head."""
     return _decode(_HEAD, data)
 
 
 def decode_accepted(data: bytes) -> Accepted | errors.Failure:
-    """Return the configuration of some bytes; its digest is checked."""
+    """Decode an accepted configuration and verify its digest."""
     accepted = _decode(_ACCEPTED, data)
     if isinstance(accepted, errors.Failure):
         return accepted
@@ -96,7 +96,7 @@
 
 
 def decode_bundle(data: bytes, digest: str) -> schema.Bundle | errors.Failure:
-    """Return the bundle of some bytes if they have this digest."""
+    """Verify the digest of an encoded bundle and decode it."""
     if bundle_digest(data) != digest:
         return errors.Failure(errors.BAD_FRAME, 'digest of the bundle')
     return _decode(_BUNDLE, data)
@@ -115,45 +115,45 @@
 
 
 class ActiveConfiguration:
-    """The configuration that a daemon works with."""
+    """Active configuration of a daemon."""
 
     def __init__(self) -> None:
         self._accepted: Accepted | None = None
         self._sites: dict[str, schema.Config] = {}
-        self._site_of: dict[ids.DataCentre, schema.Site] = {}
+        self._site_by_data_centre: dict[ids.DataCentre, schema.Site] = {}
         self._engines: dict[ids.EngineName, schema.Engine] = {}
 
     @property
     def accepted(self) -> Accepted | None:
-        """The accepted configuration, or None before the first."""
+        """Active configuration, or None before the first."""
         return self._accepted
 
     @property
     def revision(self) -> ids.Revision:
-        """Its number, 0 before the first."""
+        """Active revision, or 0 before the first."""
         if self._accepted is None:
             return ids.Revision(0)
         return self._accepted.head.revision
 
     @property
     def sites(self) -> dict[str, schema.Config]:
-        """Its merged configuration by site."""
+        """Merged configuration by site."""
         return self._sites
 
     def apply_if_newer(
         self, accepted: Accepted, sites: dict[str, schema.Config] | None
     ) -> bool:
-        """Take a configuration if it is newer; return whether it was.
+        """Apply a configuration if it is newer; return whether it was.
 
         Args:
-            accepted: the configuration.
-            sites: what config.load made of it.
+            accepted: Accepted configuration.
+            sites: Result of `config.load` by site; not applied if empty.
         """
         if accepted.head.revision <= self.revision or not sites:
             return False
         self._accepted = accepted
         self._sites = sites
-        self._site_of = {
+        self._site_by_data_centre = {
             centre: site
             for name, settings in sites.items()
             for site in settings.sites
@@ -168,13 +168,13 @@
 
     def site_of(self, data_centre: ids.DataCentre) -> schema.Site | None:
         """Return the site of a data centre."""
-        return self._site_of.get(data_centre)
+        return self._site_by_data_centre.get(data_centre)
 
     def config_of(self, data_centre: ids.DataCentre) -> schema.Config | None:
-        """Return the configuration of the site of a data centre."""
+        """Return the configuration of a data centre's site."""
         site = self.site_of(data_centre)
         return self._sites.get(site.name) if site else None
 
     def engine(self, name: ids.EngineName) -> schema.Engine | None:
-        """Return an engine of any site."""
+        """Return an engine by name, from any site."""
         return self._engines.get(name)
--- a/galenahatch/core/routes.py
+++ b/galenahatch/core/routes.py
@@ -10,12 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What operators configure: routes, services, customers and limits.
+"""Configuration by operators: routes, services, customers and limits.
 
-A route is found by host and longest prefix. Prefixes begin and end with a
-slash, so the table is looked up once for each slash of a path, from the
-longest candidate down: the cost depends on the path and not on the number
-of routes.
+Routes are matched by host and longest prefix. Prefixes begin and end with a
+slash, so a lookup tries one prefix per slash in the path, longest first. Its
+cost depends on the path, not on the number of routes.
 """
 
 import dataclasses
@@ -28,7 +27,7 @@
 
 
 class Kind(enum.Enum):
-    """What may be done with a request of a route."""
+    """Kind of a route's requests, which determines how they may be retried."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -37,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """A service that a route goes to, with its share of the requests."""
+    """Target service of a route, with its weight."""
 
     service: ids.ServiceName
     weight: int
@@ -45,19 +44,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Route:
-    """One route; times are seconds.
+    """Route with its limits; times are seconds.
 
     Attributes:
-        prefix: begins and ends with a slash.
-        timeout: longest time that a caller is kept waiting.
-        objective: time to the answer, or to the first event of a stream,
-            that operators aim at.
-        priority: 0 is the most urgent.
-        max_attempts: engines to which one request may be sent.
-        resumable: whether a stream may be resumed at an event id.
-        generative: whether requests carry a prompt for a model.
-        longest_pause: pause between events that still counts as in time.
-        anonymous: whether it takes callers without a key.
+        prefix: Path prefix, which begins and ends with a slash.
+        timeout: Maximum time that a caller waits.
+        latency_objective: Target time to the response, or to the first event
+            of a stream.
+        priority: Priority; 0 is the most urgent.
+        max_attempts: Maximum number of engines that one request is sent to.
+        resumable: Whether a stream may be resumed at an event ID.
+        generative: Whether requests carry a prompt for a model.
+        max_event_gap: Maximum time between events that counts as on time.
+        allows_anonymous: Whether callers without a key are allowed.
     """
 
     name: str
@@ -82,14 +81,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineSpec:
-    """What all model engines of a service have in common.
+    """Specification shared by all model engines of a service.
 
     Attributes:
-        slots: requests that run at once.
-        kv_tokens: tokens that fit into the memory for KV cache.
-        handle_ttl: seconds for which a finished prefill is kept.
-        switch: seconds that a change of stage takes.
-        stride: tokens in one event of a stream.
+        slots: Maximum number of concurrent requests.
+        kv_tokens: Capacity of the KV cache in tokens.
+        handle_ttl: Seconds for which a finished prefill is retained.
+        switch_time: Seconds that a change of stage takes.
+        event_tokens: Number of tokens in one stream event.
     """
 
     slots: int
@@ -101,11 +100,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Service:
-    """One service behind routes.
+    """Service that routes forward to.
 
     Attributes:
-        max_connections: that one upstream takes from all VMs together.
-        engine: for services that serve models.
+        max_connections: Maximum connections from all VMs to one upstream.
+        engine: Engine specification, for services that serve models.
     """
 
     name: ids.ServiceName
@@ -116,7 +115,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Limits:
-    """What a caller may send, and how long it may take; bytes, seconds."""
+    """Limits on the size (bytes) and duration (seconds) of requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -126,10 +125,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Configuration:
-    """One accepted configuration, whole.
+    """Complete accepted configuration.
 
     Attributes:
-        customers: None where callers need no key.
+        customers: Customers; None if callers need no key.
     """
 
     version: int
@@ -140,10 +139,10 @@
 
 
 class RouteTable:
-    """Finds the route of a request.
+    """Lookup table for the route of a request.
 
     Args:
-        routes: of one configuration.
+        routes: Routes of one configuration.
     """
 
     def __init__(self, routes: typing.Iterable[Route]) -> None:
@@ -153,11 +152,11 @@
             prefixes[route.prefix] = route
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route of a request.
+        """Return the route of a request, or None.
 
         Args:
-            host: value of the Host header; a port is ignored.
-            target: path, with or without a query.
+            host: Value of the Host header; a port is ignored.
+            target: Path, with or without a query.
         """
         prefixes = self._by_host.get(host.partition(':')[0].lower())
         if prefixes is None:
@@ -175,7 +174,7 @@
 def pick_service(
     route: Route, random_source: random.Random
 ) -> ids.ServiceName:
-    """Return the service for one request, by the weights of the route."""
+    """Pick the service for a request by the weights of its route."""
     if len(route.targets) == 1:
         return route.targets[0].service
     weights = [target.weight for target in route.targets]
--- a/galenahatch/core/upstreams.py
+++ b/galenahatch/core/upstreams.py
@@ -10,22 +10,22 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Upstreams that register themselves, and which of them take new work.
-
-Every start of an upstream is a new incarnation, which may have the id of the
-one before (`core/incarnations`), and addresses are used again by others. So
-everything is kept by incarnation, and a send is pinned to the id that it was
-meant for. The latest start that was heard of replaces the ones before it;
-what is heard of an earlier one later on changes nothing.
-
-An upstream that says that it is leaving, in its entry or in an answer, never
-takes new work again; only a later start of it does. One whose entry vanished
-takes none either, with one exception: entries lapse while the store is away
-and come back about two seconds after its return. If a whole service vanished
-that way, its last members are used until then, since refusing everything
-would be worse than a send that is turned away. An entry that can't be used
-takes the upstream away without that grace: somebody wrote it, so it did not
-lapse.
+"""Registry of self-registering upstreams and their availability.
+
+Every start of an upstream is a new incarnation, possibly with the same
+instance ID (`core/incarnations`), and addresses are reused by others. State
+is therefore keyed by incarnation, and each request is pinned to the ID that
+it was meant for. The latest known incarnation replaces earlier ones; later
+updates about an earlier incarnation are ignored.
+
+An upstream that announces that it is leaving, in its entry or in a response,
+never gets new work again; only a later incarnation does. Neither does one
+whose entry disappeared, with one exception: entries expire while the store is
+unavailable and return about two seconds after it does. If all entries of a
+service disappear, its last upstreams are used until then, since rejecting all
+requests is worse than a request that an upstream refuses. An unusable entry
+removes its upstream without this grace period: it was written, so it did not
+expire.
 """
 
 import collections.abc
@@ -37,21 +37,21 @@
 from galenahatch import ids
 
 LAPSE_GRACE_S: typing.Final = 1.8
-"""Seconds for which a service that vanished whole is still used, if the
-bound on leaving upstreams allows it: lapsed entries are promised back within
-about two seconds."""
-_DRAIN_SHARE: typing.Final = 0.9
-"""Part of that bound that may be used; the rest is for the way."""
+"""Seconds for which a service is still used after all its entries
+disappeared, if the bound on removed upstreams allows it: expired entries are
+guaranteed to return within about two seconds."""
+_DRAIN_FRACTION: typing.Final = 0.9
+"""Fraction of that bound that may be used; the rest covers transit time."""
 
-_REMEMBERED: typing.Final = 60.0
-"""Seconds for which a removed upstream is remembered as gone."""
-_LEFT_REMEMBERED: typing.Final = 3600.0
-"""Seconds for which one that said that it leaves is remembered: the store may
-be away for long, and tell of it as ready afterwards."""
+_REMOVED_RETENTION_S: typing.Final = 60.0
+"""Seconds for which a removed upstream is retained."""
+_LEAVING_RETENTION_S: typing.Final = 3600.0
+"""Seconds for which a leaving announcement is retained: the store may be
+unavailable for long and then list the upstream as ready."""
 
 
 class Stage(enum.Enum):
-    """What a model engine does."""
+    """Stage of inference that a model engine runs."""
 
     PREFILL = 'prefill'
     DECODE = 'decode'
@@ -62,10 +62,10 @@
     """One incarnation of an upstream.
 
     Attributes:
-        address: `ip:port`.
-        slots: requests that it runs at once.
-        leaving: whether it told that it takes no new work.
-        stage: of a model engine.
+        address: Address as `ip:port`.
+        slots: Maximum number of concurrent requests.
+        leaving: Whether it announced that it accepts no new work.
+        stage: Stage that a model engine runs; None for other upstreams.
     """
 
     id: ids.UpstreamId
@@ -78,32 +78,34 @@
 
 
 class Registry:
-    """All upstreams that are known.
+    """Registry of all known upstreams.
 
     Args:
-        drain: seconds after which an upstream that is gone may get nothing.
+        drain: Seconds after which a removed upstream must get no requests.
     """
 
     def __init__(self, drain: float = 2.0) -> None:
-        self._grace = min(LAPSE_GRACE_S, _DRAIN_SHARE * drain)
-        self._known: dict[ids.UpstreamId, Upstream] = {}
+        self._lapse_grace = min(LAPSE_GRACE_S, _DRAIN_FRACTION * drain)
+        self._upstreams: dict[ids.UpstreamId, Upstream] = {}
         self._removed: dict[ids.UpstreamId, tuple[float, Upstream]] = {}
-        self._left: dict[ids.UpstreamId, float] = {}
-        # Latest start of each instance, and when it was heard of last.
-        self._latest: dict[ids.InstanceId, tuple[ids.UpstreamId, float]] = {}
+        self._leaving_since: dict[ids.UpstreamId, float] = {}
+        # Latest incarnation of each instance, and the time of its last update.
+        self._latest_starts: dict[
+            ids.InstanceId, tuple[ids.UpstreamId, float]
+        ] = {}
 
     @property
     def upstreams(self) -> typing.Mapping[ids.UpstreamId, Upstream]:
-        """Upstreams by id."""
-        return self._known
+        """Upstreams by ID."""
+        return self._upstreams
 
     def latest_start(self, instance: ids.InstanceId) -> ids.UpstreamId | None:
-        """Return the latest start of an instance that was heard of."""
-        found = self._latest.get(instance)
-        return found[0] if found is not None else None
+        """Return the latest known incarnation of an instance, or None."""
+        latest = self._latest_starts.get(instance)
+        return latest[0] if latest is not None else None
 
     def register(self, upstream: Upstream, now: float) -> bool:
-        """Take an entry; return whether it changed anything."""
+        """Add or update an upstream; return whether anything changed."""
         instance = incarnations.instance_id(upstream.id)
         latest = self.latest_start(instance)
         if latest is not None:
@@ -115,82 +117,86 @@
             elif incarnations.is_later_start(latest, upstream.id):
                 return False
             elif latest != upstream.id:
-                self._forget(latest)
-        self._latest[instance] = upstream.id, now
-        if upstream.id in self._left and not upstream.leaving:
-            # Once an upstream has said that it leaves, this start of it does
-            # not return: what says otherwise is older news.
+                self._discard(latest)
+        self._latest_starts[instance] = upstream.id, now
+        if upstream.id in self._leaving_since and not upstream.leaving:
+            # Leaving is final for an incarnation: an entry that says
+            # otherwise is stale.
             return False
         if upstream.leaving:
-            self._left.setdefault(upstream.id, now)
-        before = self._known.get(upstream.id)
+            self._leaving_since.setdefault(upstream.id, now)
+        previous = self._upstreams.get(upstream.id)
         self._removed.pop(upstream.id, None)
-        self._known[upstream.id] = upstream
-        return before != upstream
+        self._upstreams[upstream.id] = upstream
+        return previous != upstream
 
     def mark_leaving(self, upstream: ids.UpstreamId, now: float) -> bool:
-        """Take from an upstream itself that it leaves.
+        """Record an upstream's own announcement that it is leaving.
 
         Returns:
-            Whether that is news.
+            Whether it was not known to be leaving.
         """
-        if upstream in self._left:
+        if upstream in self._leaving_since:
             return False
-        self._left[upstream] = now
-        found = self._known.get(upstream)
-        if found is not None:
-            self._known[upstream] = dataclasses.replace(found, leaving=True)
+        self._leaving_since[upstream] = now
+        known = self._upstreams.get(upstream)
+        if known is not None:
+            self._upstreams[upstream] = dataclasses.replace(
+                known, leaving=True
+            )
         removed = self._removed.get(upstream)
         if removed is not None:
-            gone = dataclasses.replace(removed[1], leaving=True)
-            self._removed[upstream] = removed[0], gone
+            leaving = dataclasses.replace(removed[1], leaving=True)
+            self._removed[upstream] = removed[0], leaving
         return True
 
     def record_restart(
         self,
         upstream: ids.UpstreamId,
-        born: int,
+        start_ms: int,
         stage: Stage | None,
         now: float,
     ) -> Upstream | None:
-        """Take from an upstream itself when it started.
+        """Record the start time that an upstream itself reports.
 
-        It tells so earlier than its entry may. One that leaves is not used
-        again before its entry says so.
+        The report may precede the entry. An upstream known to be leaving is
+        not used again until its entry shows the new incarnation.
 
         Args:
-            upstream: that was asked.
-            born: Unix milliseconds of its start, as it says.
-            stage: that it is in, as it says.
-            now: monotonic seconds.
+            upstream: Upstream that was queried.
+            start_ms: Reported start time in Unix milliseconds.
+            stage: Reported stage.
+            now: Monotonic seconds.
 
         Returns:
-            The later start, if it is one that takes work.
+            Later incarnation if there is one that accepts work, else None.
         """
-        before = self._known.get(upstream)
-        if before is None or before.leaving:
+        known = self._upstreams.get(upstream)
+        if known is None or known.leaving:
             return None
         instance = incarnations.instance_id(upstream)
-        later = incarnations.upstream_id(instance, born)
-        if not incarnations.is_later_start(later, upstream):
+        new_id = incarnations.upstream_id(instance, start_ms)
+        if not incarnations.is_later_start(new_id, upstream):
             return None
-        started = dataclasses.replace(before, id=later, stage=stage)
+        started = dataclasses.replace(known, id=new_id, stage=stage)
         self.register(started, now)
         return started
 
     def remove(self, instance: ids.InstanceId, now: float) -> bool:
-        """Take the news that an entry is gone."""
+        """Remove an upstream whose entry disappeared."""
         latest = self.latest_start(instance)
-        gone = self._known.pop(latest, None) if latest is not None else None
-        if gone is None:
+        removed = (
+            self._upstreams.pop(latest, None) if latest is not None else None
+        )
+        if removed is None:
             return False
-        self._removed[gone.id] = (now, gone)
-        self._latest[instance] = gone.id, now
-        self._forget_old(now)
+        self._removed[removed.id] = (now, removed)
+        self._latest_starts[instance] = removed.id, now
+        self._prune(now)
         return True
 
     def remove_unusable(self, instance: ids.InstanceId, now: float) -> bool:
-        """Take the news that an entry names no upstream that can be used."""
+        """Remove an upstream whose entry is unusable, without grace period."""
         was_known = self.remove(instance, now)
         latest = self.latest_start(instance)
         if latest is not None:
@@ -201,66 +207,74 @@
         self,
         entries: typing.Iterable[Upstream],
         now: float,
-        kept: collections.abc.Set[str] = frozenset(),
+        retained: collections.abc.Set[str] = frozenset(),
     ) -> None:
-        """Take the whole list: what is not in it is gone, or is kept."""
-        current = {incarnations.instance_id(e.id): e for e in entries}
-        present = {incarnations.instance_id(key) for key in self._known}
-        for missing in present - current.keys() - kept:
+        """Apply a complete list and remove entries missing from it.
+
+        Args:
+            entries: All listed upstreams.
+            now: Monotonic seconds.
+            retained: Instance IDs to keep although they are not listed.
+        """
+        by_instance = {incarnations.instance_id(e.id): e for e in entries}
+        known_instances = {
+            incarnations.instance_id(key) for key in self._upstreams
+        }
+        for missing in known_instances - by_instance.keys() - retained:
             self.remove(missing, now)
-        for entry in current.values():
+        for entry in by_instance.values():
             self.register(entry, now)
 
     def usable(self, service: ids.ServiceName, now: float) -> list[Upstream]:
-        """Return the upstreams of a service that take new work."""
-        found = [
+        """Return the upstreams of a service that accept new work."""
+        accepting = [
             upstream
-            for upstream in self._known.values()
+            for upstream in self._upstreams.values()
             if upstream.service == service and not upstream.leaving
         ]
-        return found or self._lapsed(service, now)
+        return accepting or self._lapsed(service, now)
 
     def find(self, upstream: ids.UpstreamId) -> Upstream | None:
-        """Return an upstream, also one whose entry vanished lately."""
-        found = self._known.get(upstream)
-        if found is None and upstream in self._removed:
+        """Return an upstream, including a recently removed one."""
+        known = self._upstreams.get(upstream)
+        if known is None and upstream in self._removed:
             return self._removed[upstream][1]
-        return found or self._ahead(upstream)
+        return known or self._unlisted_start(upstream)
 
     def accepts_work(self, upstream: ids.UpstreamId, now: float) -> bool:
-        """Return whether an upstream may be sent new work."""
-        if upstream in self._left:
+        """Return whether an upstream accepts new work."""
+        if upstream in self._leaving_since:
             return False
-        found = self._known.get(upstream)
-        if found is not None:
-            return not found.leaving
-        ahead = self._ahead(upstream)
-        if ahead is not None:
-            return not ahead.leaving
+        known = self._upstreams.get(upstream)
+        if known is not None:
+            return not known.leaving
+        unlisted = self._unlisted_start(upstream)
+        if unlisted is not None:
+            return not unlisted.leaving
         removed = self._removed.get(upstream)
         if removed is None:
             return False
         service = removed[1].service
         return any(u.id == upstream for u in self.usable(service, now))
 
-    def _ahead(self, upstream: ids.UpstreamId) -> Upstream | None:
-        """Return a start that another VM knows of and this one does not yet.
+    def _unlisted_start(self, upstream: ids.UpstreamId) -> Upstream | None:
+        """Return an incarnation that only another VM knows of yet.
 
-        The owner reads an engine's report before the engine's entry is
-        written again, and places runs on the start that it found there.
+        The owner reads an engine's report before the engine rewrites its
+        entry, and places runs on the incarnation that it found there.
         """
         latest = self.latest_start(incarnations.instance_id(upstream))
-        if latest is None or latest not in self._known:
+        if latest is None or latest not in self._upstreams:
             return None
         if not incarnations.is_later_start(upstream, latest):
             return None
-        return dataclasses.replace(self._known[latest], id=upstream)
+        return dataclasses.replace(self._upstreams[latest], id=upstream)
 
-    def _forget(self, upstream: ids.UpstreamId) -> None:
-        """Forget a start that another one has followed."""
-        self._known.pop(upstream, None)
+    def _discard(self, upstream: ids.UpstreamId) -> None:
+        """Remove an incarnation that a later one replaced."""
+        self._upstreams.pop(upstream, None)
         self._removed.pop(upstream, None)
-        self._left.pop(upstream, None)
+        self._leaving_since.pop(upstream, None)
 
     def _lapsed(self, service: ids.ServiceName, now: float) -> list[Upstream]:
         return [
@@ -268,18 +282,23 @@
             for removed_at, upstream in self._removed.values()
             if upstream.service == service
             and not upstream.leaving
-            and now - removed_at < self._grace
+            and now - removed_at < self._lapse_grace
         ]
 
-    def _forget_old(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         for key, (removed_at, _) in list(self._removed.items()):
-            if now - removed_at > _REMEMBERED:
+            if now - removed_at > _REMOVED_RETENTION_S:
                 del self._removed[key]
-        for key, left_at in list(self._left.items()):
-            if key not in self._known and now - left_at > _LEFT_REMEMBERED:
-                del self._left[key]
-        for instance, (latest, heard_at) in list(self._latest.items()):
-            is_old = now - heard_at > _REMEMBERED
-            if is_old and latest not in self._known:
+        for key, leaving_since in list(self._leaving_since.items()):
+            if (
+                key not in self._upstreams
+                and now - leaving_since > _LEAVING_RETENTION_S
+            ):
+                del self._leaving_since[key]
+        for instance, (latest, updated_at) in list(
+            self._latest_starts.items()
+        ):
+            is_expired = now - updated_at > _REMOVED_RETENTION_S
+            if is_expired and latest not in self._upstreams:
                 if latest not in self._removed:
-                    del self._latest[instance]
+                    del self._latest_starts[instance]
--- a/galenahatch/core/versions.py
+++ b/galenahatch/core/versions.py
@@ -10,22 +10,22 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Versions of the store, across restores.
+"""Versions of the store that increase monotonically across restores.
 
-The store counts its transactions, and may come back from an older copy: then
-its counter goes back, and numbers are given out again. Its era rises with
-each such restore, so the pair of era and number only ever rises.
+The store numbers its transactions. A restore from a backup resets the counter,
+so that numbers are reused. Each restore increments the era, so the pair of era
+and number only increases.
 """
 
 import typing
 
 
 class Version(typing.NamedTuple):
-    """A version of the store.
+    """Version of the store.
 
     Attributes:
-        era: how often the store was restored; 0 if it does not tell.
-        number: of its counter in that era.
+        era: Number of restores; 0 if the store does not report it.
+        number: Transaction counter within the era.
     """
 
     era: int
@@ -33,14 +33,14 @@
 
 
 OLDEST: typing.Final = Version(0, -1)
-"""Older than all versions."""
+"""Sentinel older than all versions."""
 
 
 def is_restore(before: Version, after: Version) -> bool:
     """Return whether the store was restored between two versions.
 
     Args:
-        before: known until now; `NEVER` if nothing was known.
-        after: of the news.
+        before: Last known version; `OLDEST` if none.
+        after: Version of an update.
     """
     return before != OLDEST and before.era < after.era
