--- a/galenahatch/core/decodeprefill.py
+++ b/galenahatch/core/decodeprefill.py
@@ -10,17 +10,17 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Prompts that decode engines read themselves.
+"""Prefill of prompts by decode engines.
 
-A decode engine reads at half of the speed of a prefill engine, and its runs
-make next to no tokens meanwhile. Where prefill engines keep up this only
-costs. Where they don't, because some were lost or demand came in a burst,
-memory of decode engines would stay empty while requests wait: with 3 prefill
-engines for 20 decode engines, those held 0.45 of their memory for twelve
-seconds, and a third of the requests was refused.
+A decode engine reads prompts at half the speed of a prefill engine, and its
+runs generate next to no tokens meanwhile, so where prefill engines keep up
+this only costs. Where they don't, because some were lost or a burst arrived,
+the memory of decode engines would stay empty while requests wait: with 3
+prefill engines for 20 decode engines, those used 0.45 of their memory for
+twelve seconds, and a third of the requests was refused.
 
-Each reading is a pause for the runs of its engine, so only prompts are read
-that fit well into the pause that is allowed, and one at a time.
+Each such prefill pauses the engine's runs, so only prompts that fit well into
+the allowed pause are read, one at a time.
 """
 
 import typing
@@ -28,58 +28,58 @@
 from galenahatch.core import figures
 from galenahatch.core import generations
 
-_SLOWER: typing.Final = 2.0
-"""Times that a decode engine takes longer for a prompt."""
+_SLOWDOWN: typing.Final = 2.0
+"""Factor by which a decode engine reads a prompt more slowly."""
 REST_S: typing.Final = 0.08
-"""Seconds between two readings of an engine, in which its runs make an
-event: two within one event's time made pauses of 0.5 to 0.9 s for all of its
-runs, one made 0.2 s."""
-_PAUSE_SHARE: typing.Final = 0.7
-"""Part of the longest pause that a reading may take. The rest is for the
-event that its runs were about to make: 45 to 55 ms of 300."""
-_BEHIND: typing.Final = 0.25
-"""Part of its objective that a request would have to wait for the prefill
-engines, from which on decode engines help them."""
+"""Seconds between two prefills of a decode engine, in which its runs generate
+an event: two prefills within one event's time caused pauses of 0.5 to 0.9 s
+for all runs, one caused 0.2 s."""
+_PAUSE_FRACTION: typing.Final = 0.7
+"""Fraction of the longest allowed pause that a prefill may take. The rest is
+for the event that the runs were about to generate: 45 to 55 ms of 300."""
+_MAX_WAIT_FRACTION: typing.Final = 0.25
+"""Wait for prefill engines, as a fraction of a request's objective, above
+which decode engines help."""
 PREFILL_EQUIVALENT: typing.Final = 0.15
-"""Prefill engines that a decode engine stands for while it helps: it reads a
-prompt in 0.2 s and rests, where they take 0.1 s, and half of the prompts are
-short enough."""
+"""Prefill engines that a helping decode engine replaces: it reads a prompt in
+0.2 s and rests, where they take 0.1 s, and half of the prompts are short
+enough."""
 
 
 def prefill_seconds(
-    job: generations.Job, measures: figures.Estimator
+    job: generations.Job, estimator: figures.Estimator
 ) -> float:
-    """Return how long a decode engine reads a prompt."""
-    return _SLOWER * job.prompt_tokens / measures.figures.rate
+    """Return the time in which a decode engine reads a prompt."""
+    return _SLOWDOWN * job.prompt_tokens / estimator.figures.rate
 
 
-def busy_seconds(job: generations.Job, measures: figures.Estimator) -> float:
-    """Return the seconds in which it reads no other prompt."""
-    return prefill_seconds(job, measures) + REST_S
+def busy_seconds(job: generations.Job, estimator: figures.Estimator) -> float:
+    """Return the seconds before the engine can read another prompt."""
+    return prefill_seconds(job, estimator) + REST_S
 
 
-def mean_prefill_seconds(measures: figures.Estimator) -> float:
-    """Return how long a decode engine reads a prompt of mean length."""
-    return _SLOWER * measures.figures.prompt / measures.figures.rate
+def mean_prefill_seconds(estimator: figures.Estimator) -> float:
+    """Return the time in which a decode engine reads a mean prompt."""
+    return _SLOWDOWN * estimator.figures.prompt / estimator.figures.rate
 
 
-def fits_pause(job: generations.Job, measures: figures.Estimator) -> bool:
-    """Return whether a reading fits into the pause that is allowed."""
-    return prefill_seconds(job, measures) <= _PAUSE_SHARE * job.max_pause
+def fits_pause(job: generations.Job, estimator: figures.Estimator) -> bool:
+    """Return whether a prefill fits into the pause that is allowed."""
+    return prefill_seconds(job, estimator) <= _PAUSE_FRACTION * job.max_pause
 
 
 def is_prefill_bound(
-    prefills: int, ending: float, measures: figures.Estimator
+    prefills: int, completion_rate: float, estimator: figures.Estimator
 ) -> bool:
-    """Return whether prefill engines, and not memory, limit what is served.
+    """Return whether prefill engines, and not memory, are the bottleneck.
 
     Args:
-        prefills: engines that read prompts.
-        ending: runs a second that the decode engines can end.
-        measures: what a prompt takes.
+        prefills: Number of prefill engines.
+        completion_rate: Runs a second that the decode engines can complete.
+        estimator: Measurements of the service's requests.
     """
-    return prefills < ending * measures.prefill_busy_seconds(
-        measures.figures.prompt
+    return prefills < completion_rate * estimator.prefill_busy_seconds(
+        estimator.figures.prompt
     )
 
 
@@ -87,16 +87,16 @@
     job: generations.Job,
     waiting: int,
     prefills: int,
-    measures: figures.Estimator,
+    estimator: figures.Estimator,
 ) -> bool:
-    """Return whether prefill engines are too late for a request.
+    """Return whether prefill engines would be too late for a request.
 
     Args:
-        job: that waits.
-        waiting: requests that wait.
-        prefills: engines that read prompts.
-        measures: what a prompt takes.
+        job: Waiting request.
+        waiting: Number of waiting requests.
+        prefills: Number of prefill engines.
+        estimator: Measurements of the service's requests.
     """
-    each = measures.prefill_busy_seconds(measures.figures.prompt)
-    wait = waiting * each / max(1, prefills)
-    return wait > _BEHIND * (job.start_deadline - job.arrived_at)
+    seconds_each = estimator.prefill_busy_seconds(estimator.figures.prompt)
+    wait = waiting * seconds_each / max(1, prefills)
+    return wait > _MAX_WAIT_FRACTION * (job.start_deadline - job.arrived_at)
--- a/galenahatch/core/placements.py
+++ b/galenahatch/core/placements.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Where a placed generation is, and what is awaited of its engines."""
+"""Placed generations and what is still expected of their engines."""
 
 import collections.abc
 import dataclasses
@@ -20,26 +20,26 @@
 from galenahatch import ids
 
 STARTUP_S: typing.Final = 0.5
-"""Seconds from its first event in which a run has just begun. One that goes on
-for longer is not what ends its engine."""
-_LAPSE: typing.Final = 15.0
-"""Seconds without a sign of its VM after which a run is forgotten; longer
+"""Seconds after its first event in which a run counts as just begun. A run
+that lasts longer is not the cause if its engine ends."""
+_EXPIRY_S: typing.Final = 15.0
+"""Seconds without a report of its VM after which a run is forgotten; longer
 than the longest stream of the users, shorter than a minute."""
-_STARTS: typing.Final = 2.0
-"""Seconds from its placement in which the first event of a run is awaited; its
-VM may never tell of it."""
+_FIRST_EVENT_TIMEOUT_S: typing.Final = 2.0
+"""Seconds after its placement in which the first event of a run is expected;
+its VM may never report it."""
 
 
 @dataclasses.dataclass
 class Placement:
-    """Where a run is, and when its VM last told of it.
+    """Engines of a run, and when its VM last reported it.
 
     Attributes:
-        is_alone: whether its prefill engine had no other prompt: only then
-            its time tells what a prompt takes, and not how many wait there.
-        read_at: when its prompt had been read, if known.
-        is_suspect: whether an engine ended under it lately.
-        started_at: when its first event came, if known.
+        had_idle_prefill: Whether its prefill engine had no other prompt; only
+            then does its time exclude queueing.
+        prefilled_at: Time at which the prompt had been read, if known.
+        is_suspect: Whether an engine recently ended under the request.
+        started_at: Time of the first event, if known.
     """
 
     engine: ids.UpstreamId
@@ -55,56 +55,66 @@
     def is_on_trial(self, now: float) -> bool:
         """Return whether its engine may still end under a suspect."""
         if self.started_at is None:
-            return self.is_suspect and now < self.placed_at + _STARTS
+            return (
+                self.is_suspect
+                and now < self.placed_at + _FIRST_EVENT_TIMEOUT_S
+            )
         return self.is_suspect and now < self.started_at + STARTUP_S
 
 
 def expired(
-    placed: collections.abc.Mapping[ids.StreamId, Placement], now: float
+    running: collections.abc.Mapping[ids.StreamId, Placement], now: float
 ) -> list[ids.StreamId]:
-    """Return the runs whose VM has been silent for long."""
+    """Return the runs whose VM has not reported them for too long."""
     return [
         stream
-        for stream, placement in placed.items()
-        if now - placement.confirmed_at > _LAPSE
+        for stream, placement in running.items()
+        if now - placement.confirmed_at > _EXPIRY_S
     ]
 
 
 def separate_suspects(
     job: generations.Job,
-    placed: collections.abc.Iterable[Placement],
+    running: collections.abc.Iterable[Placement],
     decodes: collections.abc.Iterable[ids.UpstreamId],
     prefills: collections.abc.Iterable[ids.UpstreamId],
     now: float,
 ) -> generations.Job | None:
-    """Return a suspect with the engines that it avoids; None if it waits.
+    """Return a suspect that avoids engines on trial; None if it has to wait.
 
-    No two suspects begin beside each other, nor are read so. Should an engine
-    end, it is known which of them it was, and whoever was once beside a
-    request that ends engines is not beside it again.
+    No two suspects start at the same engine at the same time, nor are their
+    prompts read so. If an engine ends, it is then clear which request was the
+    cause, and a request that was once beside a harmful one does not meet it
+    again.
 
     Args:
-        job: that wants engines.
-        placed: all runs.
-        decodes: decode engines that it may go to.
-        prefills: prefill engines that it may go to.
-        now: seconds of the owner.
+        job: Request that needs engines.
+        running: All placed runs.
+        decodes: Decode engines that the request may use.
+        prefills: Prefill engines that the request may use.
+        now: Monotonic time in seconds.
     """
     if not job.is_suspect:
         return job
-    tried = [one for one in placed if one.is_on_trial(now)]
-    taken = {one.engine for one in tried}
-    reading = {
-        one.prefill
-        for one in tried
-        if one.prefill is not None and one.prefilled_at is None
+    on_trial = [
+        placement for placement in running if placement.is_on_trial(now)
+    ]
+    trial_decodes = {placement.engine for placement in on_trial}
+    trial_prefills = {
+        placement.prefill
+        for placement in on_trial
+        if placement.prefill is not None and placement.prefilled_at is None
     }
-    free = set(decodes) - taken
-    if taken and not free:
+    free = set(decodes) - trial_decodes
+    if trial_decodes and not free:
         return None
-    if reading and not job.is_prefilled and reading.issuperset(prefills):
+    if (
+        trial_prefills
+        and not job.is_prefilled
+        and trial_prefills.issuperset(prefills)
+    ):
         return None
-    avoid = job.avoid | taken | reading
+    avoid = job.avoid | trial_decodes | trial_prefills
     if not free - job.avoid:
         avoid -= free
     return dataclasses.replace(job, avoid=avoid)
--- a/galenahatch/core/rebalancing.py
+++ b/galenahatch/core/rebalancing.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""When the engines of a service are divided anew.
+"""Decides when engines of a service change their stage.
 
-What a request costs comes from measurements alone (`core/forecast`); what
-the division should be, and what a change costs, from `core/stages`. Here
-stands whether enough was measured, and whether engines are missed now.
+The cost of a request is derived from measurements alone (`core/forecast`);
+`core/stages` computes the best division and the cost of a change. This module
+checks that the measurements suffice, and which engines are missed now.
 """
 
 import typing
@@ -25,41 +25,41 @@
 from galenahatch.core import stages
 from galenahatch.core import upstreams
 
-_LEAST_SIZES: typing.Final = 12
-_LEAST_READS: typing.Final = 8
-"""Requests whose sizes, and prefills whose times, were seen before the
-division of engines is planned: a mean of twelve sizes that spread by a factor
-of 1.6 is off by an eighth, and a change must gain more. Planned on a pace
-that no run had shown, an engine was taken away in the second second."""
-_LEAST_PACED: typing.Final = 1000
-"""Tokens from which the pace was measured before it is planned with: 100
-events or more of any engine, whose times spread by a fifth."""
-_CALM: typing.Final = 3.0
-"""Seconds without a refusal before engines change their stage: they are
-away for some seconds, which costs most when there are too few."""
+_MIN_SIZES: typing.Final = 12
+_MIN_PREFILLS: typing.Final = 8
+"""Requests and prefills measured before a change is planned: the mean of
+twelve sizes with a spread factor of 1.6 is off by an eighth, and a change must
+gain more. Planned without a measured pace, an engine was taken away within two
+seconds of the start."""
+_MIN_PACED_TOKENS: typing.Final = 1000
+"""Tokens behind the measured pace before it is used for planning: 100 events
+or more of any engine, whose times spread by a fifth."""
+_CALM_S: typing.Final = 3.0
+"""Seconds without a refusal before engines change their stage: they are away
+for some seconds, which costs most when there are too few."""
 
 
 class Rebalancer:
-    """The division of one service's engines.
+    """Plans stage changes of one service's engines.
 
     Args:
-        engines: the engines.
-        measures: what requests take.
-        expected: tells what a request costs.
+        engines: Engines of the service.
+        estimator: Measurements of the service's requests.
+        predictions: Source of the cost of a request.
     """
 
     def __init__(
         self,
         engines: pool.Pool,
-        measures: figures.Estimator,
-        expected: forecast.Forecast,
+        estimator: figures.Estimator,
+        predictions: forecast.Forecast,
     ) -> None:
         self._pool = engines
-        self._measures = measures
-        self._forecast = expected
+        self._estimator = estimator
+        self._forecast = predictions
         self._planner = stages.Planner()
-        self._short_at = -1e9
-        self._lagged_at = -1e9
+        self._refused_at = -1e9
+        self._prefill_waited_at = -1e9
 
     def set_engines(
         self,
@@ -67,19 +67,19 @@
         leaving: typing.Container[str],
         now: float,
     ) -> None:
-        """Take which engines there are, and which have said they leave."""
+        """Set the engines present, and those that announced they leave."""
         self._planner.set_engines(engines, leaving, now)
 
     def record_refusal(self, now: float) -> None:
-        """Note that a request was refused."""
-        self._short_at = now
+        """Record that a request was refused."""
+        self._refused_at = now
 
     def record_prefill_wait(self, now: float) -> None:
-        """Note that a request has waited for prefill engines."""
-        self._lagged_at = now
+        """Record that a request has waited for prefill engines."""
+        self._prefill_waited_at = now
 
     def reset_plan(self) -> None:
-        """Note that an engine did not change though it should."""
+        """Record that an engine did not change its stage as ordered."""
         self._planner.reset()
 
     def plan_stage_changes(
@@ -88,35 +88,36 @@
         """Return the engines whose stage should change.
 
         Args:
-            is_waiting: whether requests wait for engines.
-            now: monotonic seconds.
+            is_waiting: Whether requests wait for engines.
+            now: Monotonic time in seconds.
         """
-        if not self._pool.is_settled(now) or not self._is_measured():
+        if not self._pool.is_settled(now) or not self._has_evidence():
             return []
-        # A slow one is missed least. Taken by idleness alone, the others went,
-        # for the slow one is never idle, and all prompts waited for it.
+        # Slow engines change first. Sorted by idleness alone, a slow engine
+        # would stay, as it is never idle, and all prompts would wait for it.
         prefills = sorted(
             self._pool.prefills.values(),
-            key=lambda e: (-e.slowness(now), e.idle_at),
+            key=lambda engine: (-engine.slowness(now), engine.idle_at),
         )
         decodes = sorted(
-            self._pool.decodes.values(), key=lambda e: e.memory.load(now)
+            self._pool.decodes.values(),
+            key=lambda engine: engine.memory.load(now),
         )
-        is_calm = not is_waiting and now - self._short_at > _CALM
+        is_calm = not is_waiting and now - self._refused_at > _CALM_S
         return self._planner.plan(
             self._forecast.request_costs(),
             [engine.upstream for engine in prefills],
             [engine.upstream for engine in decodes],
             is_calm,
-            now - self._lagged_at < _CALM,
+            now - self._prefill_waited_at < _CALM_S,
             now,
         )
 
-    def _is_measured(self) -> bool:
-        """Return whether a plan would rest on nothing but measurements."""
-        known = self._measures
+    def _has_evidence(self) -> bool:
+        """Return whether there are enough measurements for a plan."""
+        estimator = self._estimator
         return (
-            known.figures.seen >= _LEAST_SIZES
-            and known.figures.reads >= _LEAST_READS
-            and self._pool.paced_tokens >= _LEAST_PACED
+            estimator.figures.seen >= _MIN_SIZES
+            and estimator.figures.reads >= _MIN_PREFILLS
+            and self._pool.paced_tokens >= _MIN_PACED_TOKENS
         )
--- a/galenahatch/core/retryafter.py
+++ b/galenahatch/core/retryafter.py
@@ -10,119 +10,125 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Times at which refused callers are asked to come back.
+"""Schedules the retries of refused callers.
 
-They are spaced by the rate that usual traffic leaves, so that who returns
-finds room; all at once they would be refused again. A returning request is
-known by the part of its prompt that only its caller sends.
+Retries are spaced by the rate that regular traffic leaves, so that they find
+room; all at once they would be refused again. A retry is recognized by the
+part of its prompt that only its caller sends.
 """
 
 import dataclasses
 import typing
 
-_LEAST_WAIT: typing.Final = 0.3
-"""Shortest time after which a refused caller is asked to come back."""
-_HEEDED: typing.Final = 1 / 3
-"""Callers heed a time to come back up to this part of what they have left."""
-_APART: typing.Final = 0.4
-"""Part of that time over which those are spread that no room is left for."""
-_STEPS: typing.Final = 16
-"""Times at which they come: as many as four engines end in a second or two.
-"""
-_SPREAD: typing.Final = 0.5
-"""Seconds around the promised time in which a caller is expected."""
+_MIN_WAIT_S: typing.Final = 0.3
+"""Least seconds after which a refused caller is asked to retry."""
+_HEEDED_FRACTION: typing.Final = 1 / 3
+"""Fraction of its remaining time up to which a caller waits as asked."""
+_STAGGER_FRACTION: typing.Final = 0.4
+"""Fraction of the longest wait over which retries are staggered while there is
+no spare capacity."""
+_STAGGER_STEPS: typing.Final = 16
+"""Number of staggered times: as many requests as four engines complete in a
+second or two."""
+_ARRIVAL_WINDOW_S: typing.Final = 0.5
+"""Seconds around the scheduled time in which a retry is expected."""
 
 
 @dataclasses.dataclass
-class _Caller:
-    """One that was refused.
+class _RefusedCaller:
+    """A caller whose request was refused.
 
     Attributes:
-        first_at: when it first asked.
-        deadline: when it wants no answer any more.
-        due: when it is expected back; None once it came.
+        first_at: Time of its first attempt.
+        deadline: Time after which it needs no answer.
+        due_at: Time at which its retry is expected; None once it has arrived.
     """
 
     first_at: float
     deadline: float
-    due: float | None = None
+    due_at: float | None = None
 
 
 class RetrySchedule:
-    """Refused callers that are expected back."""
+    """Refused callers and the times of their retries."""
 
     def __init__(self) -> None:
-        self._callers: dict[str, _Caller] = {}
+        self._callers: dict[str, _RefusedCaller] = {}
 
-    def record_arrival(self, subject: str) -> float | None:
-        """Note that a request came.
+    def record_arrival(self, fingerprint: str) -> float | None:
+        """Record the arrival of a request.
 
         Returns:
-            When it first came, if it was refused before.
+            Time of the first attempt if the request was refused before.
         """
-        caller = self._callers.get(subject)
+        caller = self._callers.get(fingerprint)
         if caller is None:
             return None
-        caller.due = None
+        caller.due_at = None
         return caller.first_at
 
-    def record_placement(self, subject: str) -> None:
-        """Note that a request has its engines."""
-        self._callers.pop(subject, None)
+    def record_placement(self, fingerprint: str) -> None:
+        """Record that a request was placed."""
+        self._callers.pop(fingerprint, None)
 
     def due_count(self, now: float) -> int:
-        """Return how many are expected just now."""
-        return sum(abs(due - now) < _SPREAD for due in self._dues())
+        """Return the number of retries expected now."""
+        return sum(
+            abs(due_at - now) < _ARRIVAL_WINDOW_S
+            for due_at in self._due_times()
+        )
 
     @property
     def outstanding(self) -> int:
-        """How many were told when to come, and have not come."""
-        return len(self._dues())
+        """Number of scheduled retries that have not arrived."""
+        return len(self._due_times())
 
-    def _dues(self) -> list[float]:
+    def _due_times(self) -> list[float]:
         callers = self._callers.values()
-        return [caller.due for caller in callers if caller.due is not None]
+        return [
+            caller.due_at for caller in callers if caller.due_at is not None
+        ]
 
     def schedule(
         self,
-        subject: str,
-        spare: float,
+        fingerprint: str,
+        spare_rate: float,
         queued: float,
-        left: float,
+        remaining: float,
         arrived_at: float,
         now: float,
     ) -> float:
-        """Return the seconds after which a caller should come back.
+        """Return the seconds after which a caller should retry.
 
         Args:
-            subject: by which it is known then; empty for unknown.
-            spare: requests a second that usual traffic leaves.
-            queued: seconds until those that wait have been placed.
-            left: seconds until the caller's deadline.
-            arrived_at: when it asked.
-            now: monotonic seconds.
+            fingerprint: Identifies the caller's retry; empty if unknown.
+            spare_rate: Requests a second that regular traffic leaves.
+            queued: Seconds until the waiting requests are placed.
+            remaining: Seconds until the caller's deadline.
+            arrived_at: Time at which the request arrived.
+            now: Monotonic time in seconds.
         """
-        self._drop_old(now)
-        spacing = 1 / spare if spare > 0 else _LEAST_WAIT
-        last = max(self._dues(), default=now)
-        wait = max(_LEAST_WAIT, last + spacing - now, queued)
-        wait = min(wait, self._latest(left))
-        if subject:
-            new = _Caller(arrived_at, now + left)
-            self._callers.setdefault(subject, new).due = now + wait
+        self._drop_expired(now)
+        spacing = 1 / spare_rate if spare_rate > 0 else _MIN_WAIT_S
+        last = max(self._due_times(), default=now)
+        wait = max(_MIN_WAIT_S, last + spacing - now, queued)
+        wait = min(wait, self._max_wait(remaining))
+        if fingerprint:
+            new = _RefusedCaller(arrived_at, now + remaining)
+            self._callers.setdefault(fingerprint, new).due_at = now + wait
         return wait
 
-    def _latest(self, left: float) -> float:
-        """Return the longest wait that a caller heeds, apart from others'.
+    def _max_wait(self, remaining: float) -> float:
+        """Return the longest wait that a caller accepts, staggered.
 
-        While nothing is left for those that come back, all would come at the
-        same time after they were refused.
+        Without spare capacity all retries would otherwise arrive the same time
+        after their refusals.
         """
-        share = len(self._callers) % _STEPS / _STEPS
-        heeded = max(0.0, left) * _HEEDED
-        return heeded * (1 - _APART + _APART * share)
+        share = len(self._callers) % _STAGGER_STEPS / _STAGGER_STEPS
+        longest = max(0.0, remaining) * _HEEDED_FRACTION
+        return longest * (1 - _STAGGER_FRACTION + _STAGGER_FRACTION * share)
 
-    def _drop_old(self, now: float) -> None:
-        for subject, caller in list(self._callers.items()):
+    def _drop_expired(self, now: float) -> None:
+        for fingerprint, caller in list(self._callers.items()):
             if caller.deadline < now:
-                del self._callers[subject]
+                del self._callers[fingerprint]
--- a/galenahatch/core/stages.py
+++ b/galenahatch/core/stages.py
@@ -10,15 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""How many engines should read prompts, and how many make answers.
-
-A service ends as many requests a second as the slower of its two stages. A
-prefill engine is busy for the time that a prompt takes; a decode engine is
-limited by its memory, of which each request holds a part for its life. From
-both times the best division follows. A change costs an order and takes the
-engine away for some seconds, so it must raise the rate by a good part, and
-no engine may have vanished lately: those that crash mostly come back by
-themselves.
+"""Plans how many engines of a service run prefill and how many decode.
+
+The throughput of a service is that of the slower of its two stages. A prefill
+engine is busy for the time that a prompt takes; a decode engine is limited by
+its memory, of which each request holds a part for its lifetime. Both times
+determine the best division. A stage change costs an order and takes the engine
+away for some seconds, so it must raise the throughput by a good margin, and no
+engine may have vanished recently: most that crash come back by themselves.
 """
 
 import dataclasses
@@ -28,36 +27,37 @@
 from galenahatch.core import upstreams
 
 MIN_GAIN: typing.Final = 1.15
-"""Times the present rate that a division must reach to be worth a change."""
+"""Least ratio of the new to the present throughput that justifies a change."""
 MIN_GAIN_BUSY: typing.Final = 1.4
-"""The same while requests wait and the engines that change are missed
-meanwhile. A surplus of prefill engines is not missed: decode engines limit,
-and go on. It is given up at once, for the first of the bursts that follow
-each other every ten seconds leaves no calm moment."""
-_FREE_GAIN: typing.Final = 1.1
-"""The same where engines change that nobody misses meanwhile: the price is
-an order. Engines that are half empty show little of the gain yet."""
-_SAME: typing.Final = 0.97
-"""Part of the present rate from which on a division counts as no worse."""
-_SETTLED: typing.Final = 5.0
-"""Seconds since an engine vanished without a word, and since the last plan;
-engines that crash are back within about four."""
-_HELPED: typing.Final = 0.3
-"""Part of the prompts that decode engines may read, at the most; half of
-them are short enough where that was measured."""
-_PREFILL_USE: typing.Final = 0.85
-"""Part of a prefill engine's time that is planned for, so that prompts wait
-for each other little."""
+"""The same while requests wait and the changing engines are missed meanwhile.
+A surplus of prefill engines is not missed, since the decode engines are the
+bottleneck and continue; it is given up at once, as bursts that follow each
+other every ten seconds leave no calm moment."""
+_MIN_GAIN_FREE: typing.Final = 1.1
+"""The same where the changing engines are not missed meanwhile: the only cost
+is an order. Engines that are half empty show little of the gain yet."""
+_EQUAL_RATE: typing.Final = 0.97
+"""Fraction of the present throughput above which a division counts as no
+worse."""
+_SETTLE_S: typing.Final = 5.0
+"""Seconds to wait after an engine vanished without notice, and after the last
+plan; engines that crash are back within about 4 s."""
+_MAX_DECODE_PREFILL_SHARE: typing.Final = 0.3
+"""Largest fraction of the prompts that decode engines may read; about half of
+all prompts are short enough."""
+_PREFILL_UTILIZATION: typing.Final = 0.85
+"""Planned utilization of prefill engines, which keeps queueing low."""
 
 
 @dataclasses.dataclass(frozen=True)
 class RequestCost:
-    """What one request costs.
+    """Engine time that one request takes.
 
     Attributes:
-        read: seconds of a prefill engine.
-        hold: seconds of a decode engine, the whole of it.
-        help: seconds of a decode engine that reads the prompt itself.
+        prefill_seconds: Seconds of a prefill engine.
+        decode_seconds: Seconds of a whole decode engine.
+        decode_prefill_seconds: Seconds of a decode engine that reads the
+            prompt itself.
     """
 
     prefill_seconds: float
@@ -65,45 +65,49 @@
     decode_prefill_seconds: float = math.inf
 
 
-def throughput(work: RequestCost, prefills: int, decodes: int) -> float:
-    """Return requests a second that a division of engines can end.
+def throughput(cost: RequestCost, prefills: int, decodes: int) -> float:
+    """Return the requests a second that a division of engines completes.
 
-    Where prefill engines limit, decode engines read what those leave, up to
-    a part of all prompts: some are too long for the pause that their runs
-    may make. Their time then goes into holding and reading.
+    Where prefill engines are the bottleneck, decode engines read the prompts
+    that remain, up to a fraction of all: some prompts are too long for the
+    pause that their runs may make. Decode time is then split between decoding
+    and prefill.
     """
-    reading = _PREFILL_USE * prefills / work.prefill_seconds
-    making = decodes / work.decode_seconds
-    if making <= reading:
-        return making
-    if math.isinf(work.decode_prefill_seconds):
-        return reading
+    prefill_rate = _PREFILL_UTILIZATION * prefills / cost.prefill_seconds
+    decode_rate = decodes / cost.decode_seconds
+    if decode_rate <= prefill_rate:
+        return decode_rate
+    if math.isinf(cost.decode_prefill_seconds):
+        return prefill_rate
     if not prefills:
-        # Prompts that are too long make every run of their engine pause for
-        # too long: what is served then is late.
+        # Long prompts pause every run of their engine for too long, so what
+        # is served then is late.
         return (
-            _HELPED
+            _MAX_DECODE_PREFILL_SHARE
             * decodes
-            / (work.decode_seconds + work.decode_prefill_seconds)
+            / (cost.decode_seconds + cost.decode_prefill_seconds)
         )
-    helped = (decodes + reading * work.decode_prefill_seconds) / (
-        work.decode_seconds + work.decode_prefill_seconds
+    combined_rate = (decodes + prefill_rate * cost.decode_prefill_seconds) / (
+        cost.decode_seconds + cost.decode_prefill_seconds
+    )
+    return max(
+        prefill_rate,
+        min(combined_rate, prefill_rate / (1 - _MAX_DECODE_PREFILL_SHARE)),
     )
-    return max(reading, min(helped, reading / (1 - _HELPED)))
 
 
-def best_prefill_count(work: RequestCost, engines: int) -> int:
-    """Return how many of some engines should read prompts."""
+def best_prefill_count(cost: RequestCost, engines: int) -> int:
+    """Return how many of some engines should run prefill."""
     if engines < 2:
         return engines
     return max(
         range(1, engines),
-        key=lambda prefills: throughput(work, prefills, engines - prefills),
+        key=lambda prefills: throughput(cost, prefills, engines - prefills),
     )
 
 
 class Planner:
-    """Decides on changes of stage for one service."""
+    """Plans the stage changes of one service."""
 
     def __init__(self) -> None:
         self._engines: frozenset[str] = frozenset()
@@ -116,50 +120,52 @@
         leaving: typing.Container[str],
         now: float,
     ) -> None:
-        """Take which engines there are, and which have said they leave."""
+        """Set the engines present, and those that announced they leave."""
         current = frozenset(engines)
-        lost = self._engines - current
-        if any(engine not in leaving for engine in lost):
+        vanished = self._engines - current
+        if any(engine not in leaving for engine in vanished):
             self._vanished_at = now
         self._engines = current
 
     def reset(self) -> None:
-        """Forget the last plan: nothing came of it."""
+        """Forget the last plan: it was not carried out."""
         self._planned_at = -1e9
 
     def plan(
         self,
-        works: typing.Sequence[RequestCost],
+        costs: typing.Sequence[RequestCost],
         prefills: typing.Sequence[upstreams.Upstream],
         decodes: typing.Sequence[upstreams.Upstream],
-        calm: bool,
-        lags: bool,
+        is_calm: bool,
+        is_prefill_late: bool,
         now: float,
     ) -> list[tuple[upstreams.Upstream, upstreams.Stage]]:
-        """Return the engines to change, and to which stage.
+        """Return the engines to change, and their new stages.
 
         Args:
-            works: what one request may cost, as far as it is known; a change
-                has to pay whichever it is.
-            prefills: engines that read, the most idle first.
-            decodes: engines that make answers, the most idle first.
-            calm: whether no request has waited lately.
-            lags: whether requests have waited for prefill engines lately. No
-                decode engine is given up for less: it is missed at once, and
-                what it would gain rests on figures.
-            now: monotonic seconds.
+            costs: Possible costs of one request; a change has to pay off for
+                each.
+            prefills: Prefill engines, in the order in which to give them up.
+            decodes: Decode engines, in the order in which to give them up.
+            is_calm: Whether no request has waited recently.
+            is_prefill_late: Whether requests have waited for prefill engines
+                recently. Otherwise no decode engine is given up: it is missed
+                at once, while the gain rests on estimates.
+            now: Monotonic time in seconds.
         """
         total = len(prefills) + len(decodes)
         unsettled_at = max(self._vanished_at, self._planned_at)
-        if total < 2 or now - unsettled_at < _SETTLED:
+        if total < 2 or now - unsettled_at < _SETTLE_S:
             return []
-        surplus = _agreed(
-            [len(prefills) - best_prefill_count(work, total) for work in works]
+        surplus = _smallest_common(
+            [len(prefills) - best_prefill_count(cost, total) for cost in costs]
         )
-        if not surplus or (surplus < 0 and prefills and not lags):
+        if not surplus or (surplus < 0 and prefills and not is_prefill_late):
             return []
         engines = (len(prefills), len(decodes))
-        if not all(_pays(work, engines, surplus, calm) for work in works):
+        if not all(
+            _is_worthwhile(cost, engines, surplus, is_calm) for cost in costs
+        ):
             return []
         self._planned_at = now
         if surplus > 0:
@@ -169,24 +175,24 @@
         return [(e, stage) for e in decodes[:-surplus]]
 
 
-def _agreed(surpluses: typing.Sequence[int]) -> int:
-    """Return the smallest change if all go one way, 0 otherwise."""
+def _smallest_common(surpluses: typing.Sequence[int]) -> int:
+    """Return the smallest change if all have the same sign, 0 otherwise."""
     if min(surpluses) > 0:
         return min(surpluses)
     return min(0, max(surpluses))
 
 
-def _pays(
-    work: RequestCost, engines: tuple[int, int], surplus: int, calm: bool
+def _is_worthwhile(
+    cost: RequestCost, engines: tuple[int, int], surplus: int, is_calm: bool
 ) -> bool:
     """Return whether a change gains more than it costs meanwhile."""
     prefills, decodes = engines
-    before = throughput(work, prefills, decodes)
-    after = throughput(work, prefills - surplus, decodes + surplus)
+    before = throughput(cost, prefills, decodes)
+    after = throughput(cost, prefills - surplus, decodes + surplus)
     if surplus > 0:
-        meanwhile = throughput(work, prefills - surplus, decodes)
+        during = throughput(cost, prefills - surplus, decodes)
     else:
-        meanwhile = throughput(work, prefills, decodes + surplus)
-    if surplus > 0 and meanwhile > _SAME * before:
-        return after >= _FREE_GAIN * before
-    return after >= (MIN_GAIN if calm else MIN_GAIN_BUSY) * before
+        during = throughput(cost, prefills, decodes + surplus)
+    if surplus > 0 and during > _EQUAL_RATE * before:
+        return after >= _MIN_GAIN_FREE * before
+    return after >= (MIN_GAIN if is_calm else MIN_GAIN_BUSY) * before
--- a/galenahatch/core/waitqueue.py
+++ b/galenahatch/core/waitqueue.py
@@ -10,13 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Requests that wait for engines, and their order.
+"""Queue of the requests that wait for engines.
 
-First what goes on with a stream that its caller has begun to read, then
-what is kept, then who comes back after a refusal, then all others by the
-time until which they must have started. What is late goes last, for served
-earlier it makes those behind it late as well: first who came back and has no
-further attempt, each by when its caller leaves.
+Order: continuations of streams that callers are already reading, then
+committed requests, then retries after a refusal, then all others by the
+deadline for their start. Late requests come last, since served earlier they
+would make those behind them late as well; among them retries, which get no
+further attempt, come first, each group by the time at which its caller gives
+up.
 
 Times are monotonic seconds.
 """
@@ -29,29 +30,29 @@
 from galenahatch.core import generations
 from galenahatch import ids
 
-_UNDECIDED: typing.Final = 0.12
-"""Part of its objective for which a request may wait without being kept. A
-refusal after an eighth to a quarter of it counts as a late one."""
+_MAX_UNDECIDED_FRACTION: typing.Final = 0.12
+"""Fraction of its objective for which a request may wait undecided. A refusal
+after an eighth to a quarter of it counts as late."""
 
-_PROBE_EVERY: typing.Final = 3.0
-"""Seconds between two requests that are kept late against the forecast. Kept
-one after another, they took the places of an eighth of all requests that
-would have been in time at engines that end 0.87 of the demand."""
+_PROBE_INTERVAL_S: typing.Final = 3.0
+"""Seconds between two requests that are committed against the forecast.
+Committed without a pause, they displaced an eighth of all requests that would
+have been in time where engines complete 0.87 of the demand."""
 
 Job = generations.Job
 Rank = tuple[int, int, float]
 
 
 def first_event_limit(job: Job) -> float:
-    """Return until when a request's first event must be expected.
+    """Return the latest time at which a first event may be expected.
 
-    One that an engine has failed already is served late if need be.
+    A request that an engine has failed is served late if necessary.
     """
     return job.abandon_at if job.avoid else job.start_deadline
 
 
 def needs_decision(job: Job, now: float) -> bool:
-    """Return whether a request is to be kept or refused now."""
+    """Return whether a request has to be committed or refused now."""
     return (
         not job.is_continuation
         and not job.is_committed
@@ -60,7 +61,7 @@
 
 
 def has_missed_start(job: Job, now: float) -> bool:
-    """Return whether a request that is kept can't start in time any more."""
+    """Return whether a committed request can no longer start in time."""
     return (
         job.is_committed
         and not job.is_continuation
@@ -69,20 +70,20 @@
 
 
 def is_wait_noticeable(job: Job, now: float) -> bool:
-    """Return whether a request has waited for longer than costs nothing."""
+    """Return whether a request has waited longer than is free of cost."""
     objective = max(0.0, job.start_deadline - job.arrived_at)
-    return now >= job.arrived_at + _UNDECIDED * objective
+    return now >= job.arrived_at + _MAX_UNDECIDED_FRACTION * objective
 
 
 class WaitQueue:
-    """The requests of one service that wait.
+    """Waiting requests of one service.
 
     Args:
-        measures: tell how long a request takes once it is placed.
+        estimator: Predicts the time from placement to the first event.
     """
 
-    def __init__(self, measures: figures.Estimator) -> None:
-        self._measures = measures
+    def __init__(self, estimator: figures.Estimator) -> None:
+        self._estimator = estimator
         self._jobs: dict[ids.StreamId, Job] = {}
         self._probed_at = -1e9
 
@@ -90,61 +91,66 @@
         return len(self._jobs)
 
     def add(self, job: Job) -> None:
-        """Take a request."""
+        """Add a request."""
         self._jobs[job.stream] = job
 
     def remove(self, stream: ids.StreamId) -> Job | None:
-        """Forget a request; return it if it was waiting."""
+        """Remove a request; return it if it was waiting."""
         return self._jobs.pop(stream, None)
 
     def commit(self, job: Job, is_late: bool = False) -> None:
-        """Note that a request is to be served, in time or late."""
+        """Mark a request as to be served, in time or late."""
         self._jobs[job.stream] = dataclasses.replace(
             job, is_committed=True, is_late=is_late
         )
 
     def in_order(self, now: float) -> list[Job]:
         """Return the requests in the order in which they are placed."""
-        return sorted(self._jobs.values(), key=self._ranking(now))
+        return sorted(self._jobs.values(), key=self._rank_function(now))
 
     def jobs_ahead(self, job: Job, now: float) -> list[Job]:
         """Return the requests that are placed before another."""
-        rank = self._ranking(now)
-        return [j for j in self._jobs.values() if rank(j) < rank(job)]
+        rank = self._rank_function(now)
+        return [
+            other for other in self._jobs.values() if rank(other) < rank(job)
+        ]
 
     def take_probe(self, job: Job, now: float) -> bool:
-        """Return whether a request is kept though there seems to be no room.
+        """Return whether to commit a request against the forecast.
 
-        One that has no further attempt, with nobody before it, every few
-        seconds: it is the first to be served when a burst is over.
+        This applies to a retry, which gets no further attempt, with no request
+        before it, once per interval: it is the first to be served when a burst
+        is over.
         """
         if self._jobs or not job.is_retry:
             return False
-        if now - self._probed_at < _PROBE_EVERY:
+        if now - self._probed_at < _PROBE_INTERVAL_S:
             return False
-        if now + self._measures.seconds_to_first_event(job) > job.abandon_at:
+        if now + self._estimator.seconds_to_first_event(job) > job.abandon_at:
             return False
         self._probed_at = now
         return True
 
     def cannot_finish(self, job: Job, now: float) -> bool:
-        """Return whether nothing would come of a request any more."""
-        if job.deadline < now + self._measures.min_total_seconds(job):
+        """Return whether a request can no longer be served usefully."""
+        if job.deadline < now + self._estimator.min_total_seconds(job):
             return True
-        first_at = now + self._measures.seconds_to_first_event(job)
-        return not job.is_continuation and job.abandon_at < first_at
+        first_event_at = now + self._estimator.seconds_to_first_event(job)
+        return not job.is_continuation and job.abandon_at < first_event_at
 
-    def _ranking(self, now: float) -> collections.abc.Callable[[Job], Rank]:
+    def _rank_function(
+        self, now: float
+    ) -> collections.abc.Callable[[Job], Rank]:
         def rank(job: Job) -> Rank:
             if job.is_continuation:
                 return 0, 0, job.arrived_at
-            late = (
+            is_late = (
                 job.start_deadline
-                < now + self._measures.seconds_to_first_event(job)
+                < now + self._estimator.seconds_to_first_event(job)
             )
-            if job.is_late or late:
-                turn = 4 if job.is_retry else 5
-                return turn, job.priority, job.abandon_at
+            if job.is_late or is_late:
+                group = 4 if job.is_retry else 5
+                return group, job.priority, job.abandon_at
             if job.is_committed:
                 return 1, job.priority, job.arrived_at
             return 2 if job.is_retry else 3, job.priority, job.start_deadline
