--- a/galenahatch/core/figures.py
+++ b/galenahatch/core/figures.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What an owner measures of a service, and what follows from it."""
+"""Measurements of a service by its owner, and estimates based on them."""
 
 import collections
 import typing
@@ -21,56 +21,57 @@
 from galenahatch.core import memory
 
 INITIAL_PREFILL_RATE: typing.Final = 40_000.0
-"""Prompt tokens a second of a prefill engine before any was measured."""
+"""Prompt tokens a second of a prefill engine before any measurement."""
 INITIAL_SLACK_S: typing.Final = 0.15
-"""Seconds from the end of a prefill to the first event, before any was
-measured: transfer, first step, network. A guess on the long side: engines
-that were measured took 0.006 to 0.02 s."""
-_SLACKS: typing.Final = 45
-_SLACK_SHARE: typing.Final = 0.8
-"""The newest starts that count, and the share of them that are to be no later
-than what is believed: who is kept is to start in time."""
-_LEAST_PAIRS: typing.Final = 5
-"""Pairs of prompts from which on an engine is believed to read within the
-delay when engines are taken from reading; the newest five weigh two thirds."""
-_LEAST_WORK: typing.Final = 0.5
-"""Part of a prefill's time that is taken for work at the least, as long as
-too few were seen to tell the delay."""
-_OVERLAP_WEIGHT: typing.Final = 0.2
-"""Weight of the newest pair of prompts in the overlap believed."""
-_SIZE_WEIGHT: typing.Final = 0.03
+"""Seconds from the end of a prefill to the first event before any measurement:
+transfer, first step, network. Deliberately long: the users' engines take 0.006
+to 0.02 s."""
+_SLACK_WINDOW: typing.Final = 45
+_SLACK_QUANTILE: typing.Final = 0.8
+"""Number of recent starts used for the slack, and the quantile of them that it
+covers, since admitted requests are to start in time."""
+_MIN_PAIRS: typing.Final = 5
+"""Pairs of prompts needed before the overlap counts when engines are taken
+from prefill; the newest five have two thirds of the weight."""
+_MIN_WORK_FRACTION: typing.Final = 0.5
+"""Least fraction of a prefill's time that is counted as work while there are
+too few samples to tell the delay."""
+_OVERLAP_SMOOTHING: typing.Final = 0.2
+"""Weight of the newest pair of prompts in the estimated overlap."""
+_MIN_SIZE_WEIGHT: typing.Final = 0.03
 """Least weight of the newest request in the mean sizes."""
-_ARRIVAL_SPAN: typing.Final = 3.0
-"""Seconds over which demand is counted: a burst is known as one while it
-lasts, and its end soon after. Counted over 15 s, a burst of five hid the
-room behind it, and who came back then was refused for good."""
-_USUAL_SPAN: typing.Final = 15.0
-"""Seconds over which the usual rate of requests is counted: three bursts."""
-_LASTING: typing.Final = 4.0
-"""Seconds of demand from which on it can be more than a burst."""
-_PLACED_SHARE: typing.Final = 0.92
-"""Share of the requests that find a place, below which demand is above what is
-served for good. It rests on what was placed, not on a rate that is believed:
-that one was a sixth too high for slow engines. The newest three seconds of
-requests may still wait and are left out: with them one burst of four seconds
-before four decode engines looked like overload, and 0.5 in 100 callers of the
-day were refused for good, where none were without (one play each)."""
+_ARRIVAL_WINDOW_S: typing.Final = 3.0
+"""Seconds over which present demand is counted: short enough to notice a burst
+while it lasts, and its end. Counted over 15 s, a burst of five hid the room
+behind it, and retries were refused for good."""
+_LONG_TERM_WINDOW_S: typing.Final = 15.0
+"""Seconds over which the long-term rate is counted: three bursts."""
+_MIN_OVERLOAD_S: typing.Final = 4.0
+"""Seconds of demand after which it can be more than a burst."""
+_MIN_PLACED_FRACTION: typing.Final = 0.92
+"""Fraction of the requests that are placed, below which demand permanently
+exceeds what is served. It is based on placements rather than on an estimated
+rate, which was a sixth too high for slow engines. Requests of the newest three
+seconds may still wait and are left out: with them, one burst of four seconds
+at four decode engines looked like overload, and 0.5 in 100 callers of the day
+were refused for good, compared to none (one run each)."""
 
 
 class Figures(typing.NamedTuple):
-    """What an owner has measured; the next one begins with it.
+    """Measurements of an owner, handed on to its successor.
 
     Attributes:
-        rate: prompt tokens a second of a prefill engine.
-        prompt: mean tokens of a prompt.
-        output: mean tokens of an answer.
-        pace: seconds for a token.
-        seen: requests that were measured.
-        delay: seconds that a prefill takes besides reading.
-        alone: part of the delay in which the engine reads nothing else.
-        reads: prefills that were measured.
-        slack: seconds from the end of a prefill to the first event.
-        pairs: prompts that told whether the engine had read within the delay.
+        rate: Prompt tokens a second of a prefill engine.
+        prompt: Mean tokens of a prompt.
+        output: Mean tokens of an answer.
+        pace: Seconds for a token.
+        seen: Number of requests measured.
+        delay: Seconds that a prefill takes besides reading.
+        alone: Fraction of the delay in which the engine reads nothing else.
+        reads: Number of prefills measured.
+        slack: Seconds from the end of a prefill to the first event.
+        pairs: Prompts that showed whether the engine had read during the
+            delay.
     """
 
     rate: float = INITIAL_PREFILL_RATE
@@ -85,33 +86,33 @@
     pairs: int = 0
 
 
-class _Recent:
-    """Moments of the last seconds.
+class _SlidingWindow:
+    """Times of the events of the last seconds.
 
     Args:
-        span: seconds that count.
+        seconds: Length of the window.
     """
 
-    def __init__(self, span: float) -> None:
-        self._span = span
-        self._moments: collections.deque[float] = collections.deque()
+    def __init__(self, seconds: float) -> None:
+        self._seconds = seconds
+        self._times: collections.deque[float] = collections.deque()
 
-    def note(self, now: float) -> None:
-        """Add a moment."""
-        self._moments.append(now)
+    def add(self, now: float) -> None:
+        """Add an event."""
+        self._times.append(now)
 
     def count(self, now: float) -> int:
-        """Return how many there are."""
-        while self._moments and self._moments[0] < now - self._span:
-            self._moments.popleft()
-        return len(self._moments)
+        """Return the number of events."""
+        while self._times and self._times[0] < now - self._seconds:
+            self._times.popleft()
+        return len(self._times)
 
     def age(self, now: float) -> float:
-        """Return the seconds since the first of them."""
-        return now - self._moments[0] if self.count(now) else 0.0
+        """Return the seconds since the first event."""
+        return now - self._times[0] if self.count(now) else 0.0
 
     def rate(self, now: float) -> float:
-        """Return how many there are a second, since the first of them."""
+        """Return the events a second since the first one."""
         return self.count(now) / max(1.0, self.age(now))
 
 
@@ -124,12 +125,14 @@
         self._latency = latency.Latency()
         self._adopted_reads = 0
         self._slacks: collections.deque[float] = collections.deque(
-            maxlen=_SLACKS
+            maxlen=_SLACK_WINDOW
         )
-        self._usual = _Recent(_USUAL_SPAN)
-        self._asked = _Recent(_USUAL_SPAN + _ARRIVAL_SPAN)
-        self._present = _Recent(_ARRIVAL_SPAN)
-        self._placed = _Recent(_USUAL_SPAN)
+        self._long_term_arrivals = _SlidingWindow(_LONG_TERM_WINDOW_S)
+        self._arrivals = _SlidingWindow(
+            _LONG_TERM_WINDOW_S + _ARRIVAL_WINDOW_S
+        )
+        self._recent_arrivals = _SlidingWindow(_ARRIVAL_WINDOW_S)
+        self._placements = _SlidingWindow(_LONG_TERM_WINDOW_S)
 
     @property
     def mean_held_tokens(self) -> float:
@@ -137,7 +140,7 @@
         return self.figures.prompt + self.figures.output / 2
 
     def adopt(self, figures: Figures) -> bool:
-        """Take another owner's figures, if it has seen more."""
+        """Adopt another owner's figures if they cover more requests."""
         if figures.seen <= self.figures.seen:
             return False
         self.figures = figures
@@ -145,105 +148,105 @@
         return True
 
     def record_size(self, prompt: int, output: int) -> None:
-        """Take the sizes of a request, its answer's as predicted."""
-        known = self.figures
-        seen = known.seen + 1
-        weight = max(_SIZE_WEIGHT, 1 / seen)
-        self.figures = known._replace(
-            prompt=known.prompt + weight * (prompt - known.prompt),
-            output=known.output + weight * (output - known.output),
-            seen=seen,
+        """Record the prompt tokens and predicted output of a request."""
+        current = self.figures
+        count = current.seen + 1
+        weight = max(_MIN_SIZE_WEIGHT, 1 / count)
+        self.figures = current._replace(
+            prompt=current.prompt + weight * (prompt - current.prompt),
+            output=current.output + weight * (output - current.output),
+            seen=count,
         )
 
     def record_arrival(self, now: float) -> None:
-        """Count a request that does not come back."""
-        self._usual.note(now)
-        self._asked.note(now)
-        self._present.note(now)
+        """Record the arrival of a request that is no retry."""
+        self._long_term_arrivals.add(now)
+        self._arrivals.add(now)
+        self._recent_arrivals.add(now)
 
     def record_placement(self, now: float) -> None:
-        """Count a request that found a place."""
-        self._placed.note(now)
+        """Record that a request was placed."""
+        self._placements.add(now)
 
     def arrival_rate(self, now: float) -> float:
-        """Return the requests a second that come now, without returns."""
-        return self._present.rate(now)
+        """Return the present requests a second, without retries."""
+        return self._recent_arrivals.rate(now)
 
     def long_term_rate(self, now: float) -> float:
-        """Return the same over several bursts and what lies between."""
-        return self._usual.rate(now)
+        """Return the same over several bursts and the lulls between them."""
+        return self._long_term_arrivals.rate(now)
 
     def is_overloaded(self, now: float) -> bool:
-        """Return whether demand has been above what is served for a while."""
-        if self._asked.age(now) < _LASTING:
+        """Return whether demand has exceeded what is served for a while."""
+        if self._arrivals.age(now) < _MIN_OVERLOAD_S:
             return False
-        # Those of the last seconds may still wait, or be on their way back.
-        asked = self._asked.count(now) - self._present.count(now)
-        return self._placed.count(now) < _PLACED_SHARE * asked
+        # Recent requests may still wait, or retry soon.
+        settled = self._arrivals.count(now) - self._recent_arrivals.count(now)
+        return self._placements.count(now) < _MIN_PLACED_FRACTION * settled
 
     def record_prefill(self, tokens: int, seconds: float) -> None:
-        """Take how long a prefill took at an engine that had no other."""
+        """Record the time of a prefill at an engine that had no other."""
         if tokens <= 0 or seconds <= 0:
             return
         line = self._latency.add_sample(tokens, seconds, self.prefill_line)
         self.figures = self.figures._replace(reads=self.figures.reads + 1)
         if self._adopted_reads and not self._latency.has_slope:
-            # The owner before knew more than a few prompts can tell, which
-            # may have met prompts that it placed.
+            # Keep the adopted figures until there are enough samples: the
+            # first prompts may have waited behind those of the previous owner.
             return
         self.figures = self.figures._replace(rate=line.rate, delay=line.delay)
 
     def record_overlap(self, alone: float) -> None:
-        """Take in what part of the delay an engine read nothing else."""
-        believed = self.figures.alone
-        step = _OVERLAP_WEIGHT * (min(1.0, max(0.0, alone)) - believed)
+        """Record the fraction of the delay in which nothing else was read."""
+        current = self.figures.alone
+        step = _OVERLAP_SMOOTHING * (min(1.0, max(0.0, alone)) - current)
         self.figures = self.figures._replace(
-            alone=believed + step, pairs=self.figures.pairs + 1
+            alone=current + step, pairs=self.figures.pairs + 1
         )
 
     def record_start(self, seconds: float) -> None:
-        """Take the time from the end of a prefill to the first event."""
+        """Record the seconds from the end of a prefill to the first event."""
         self._slacks.append(seconds)
         ordered = sorted(self._slacks)
-        slack = ordered[int(_SLACK_SHARE * len(ordered))]
+        slack = ordered[int(_SLACK_QUANTILE * len(ordered))]
         self.figures = self.figures._replace(slack=slack)
 
     def record_pace(self, pace: float) -> None:
-        """Take the mean pace of the engines."""
+        """Record the mean pace of the engines."""
         self.figures = self.figures._replace(pace=pace)
 
     @property
     def prefill_line(self) -> latency.Line:
-        """What a prompt takes at an idle prefill engine."""
+        """Prefill time of a prompt at an idle prefill engine."""
         return latency.Line(self.figures.delay, self.figures.rate)
 
-    def prefill_seconds(self, prompt: int) -> float:
+    def prefill_seconds(self, tokens: int) -> float:
         """Return the seconds until a prefill engine has read a prompt."""
-        return self.prefill_line.seconds(prompt)
+        return self.prefill_line.seconds(tokens)
 
-    def prefill_busy_seconds(self, prompt: float) -> float:
+    def prefill_busy_seconds(self, tokens: float) -> float:
         """Return the seconds for which a prompt keeps an engine busy."""
-        known = self.figures
-        return prompt / known.rate + known.alone * known.delay
+        current = self.figures
+        return tokens / current.rate + current.alone * current.delay
 
     def prefill_busy_range(self) -> tuple[float, float]:
-        """Return how short and how long a mean prompt may keep an engine."""
-        known = self.figures
-        whole = self.prefill_seconds(round(known.prompt))
-        if known.reads < latency.MIN_SAMPLES:
-            return _LEAST_WORK * whole, whole
+        """Return bounds on the seconds that a mean prompt takes an engine."""
+        current = self.figures
+        total = self.prefill_seconds(round(current.prompt))
+        if current.reads < latency.MIN_SAMPLES:
+            return _MIN_WORK_FRACTION * total, total
         if not self.has_overlap_estimate:
-            return known.prompt / known.rate, whole
-        occupied = self.prefill_busy_seconds(known.prompt)
-        return occupied, occupied
+            return current.prompt / current.rate, total
+        busy = self.prefill_busy_seconds(current.prompt)
+        return busy, busy
 
     @property
     def has_overlap_estimate(self) -> bool:
-        """Whether it was seen if engines read within the delay."""
-        return self.figures.pairs >= _LEAST_PAIRS
+        """Whether enough pairs show if engines read during the delay."""
+        return self.figures.pairs >= _MIN_PAIRS
 
     def seconds_to_first_event(self, job: generations.Job) -> float:
-        """Return the seconds from placing to the first event."""
+        """Return the seconds from placement to the first event."""
         slack = self.figures.slack
         return (
             slack
@@ -252,7 +255,7 @@
         )
 
     def min_total_seconds(self, job: generations.Job) -> float:
-        """Return the shortest time that a whole answer may take."""
+        """Return the least time that a complete answer may take."""
         return (
             self.prefill_seconds(job.prompt_tokens)
             + job.predicted_output * self.figures.pace / 2
--- a/galenahatch/core/generations.py
+++ b/galenahatch/core/generations.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Generations that ask for engines, and what is decided on them.
+"""Generations that request engines, and the decisions on them.
 
 Times are monotonic seconds of the owner.
 """
@@ -25,33 +25,34 @@
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """A generation that asks for engines.
+    """A generation that requests engines.
 
     Attributes:
-        prompt: tokens of the prompt.
-        hint: the caller's estimate of the answer's tokens, 0 for none.
-        most: bound on the tokens of the answer.
-        start_by: until when its first event must have been made.
-        leaves_at: when the caller leaves without a first event.
-        deadline: until when the whole answer must be there.
-        subject: id of the part of the prompt that only this caller sends;
-            tells that a request comes back.
-        avoid: engines that failed the request already.
-        paused: until when engines want nothing from its VM.
-        going_on: whether a part of the answer was already passed on.
-        is_read: whether a prefill engine holds its result already.
-        longest_pause: seconds between two events at the most.
-        is_suspect: whether an engine ended under it lately.
-        customer: that it counts for, or empty.
-        units: of the customer's quota that it was granted.
-        priority: 0 is the most urgent.
-        output: predicted tokens of the answer; set by the dispatcher.
-        returned: whether it was refused before, with a time to come back;
-            set by the dispatcher.
-        kept: whether it is to be served before all that came after it, or
-            last once it has become late; set by the dispatcher.
-        is_late: whether it is to be served though it can't start in time;
-            set by the dispatcher.
+        prompt_tokens: Tokens of the prompt.
+        output_hint: The caller's estimate of the answer's tokens; 0 for none.
+        max_output: Upper bound on the tokens of the answer.
+        start_deadline: Time by which its first event is due.
+        abandon_at: Time at which the caller gives up without a first event.
+        deadline: Time by which the complete answer is due.
+        fingerprint: Id of the part of the prompt that only this caller sends;
+            identifies a retry.
+        avoid: Engines that have already failed the request.
+        paused_until: Times until which engines accept nothing from its VM.
+        is_continuation: Whether part of the answer was already passed on.
+        is_prefilled: Whether a prefill engine already holds its result.
+        max_pause: Longest pause between two events, in seconds.
+        is_suspect: Whether an engine recently ended under the request.
+        customer: Customer that it counts for; empty for none.
+        units: Units of the customer's quota granted to it.
+        priority: Priority; 0 is the most urgent.
+        predicted_output: Predicted tokens of the answer; set by the
+            dispatcher.
+        is_retry: Whether it was refused before and asked to retry; set by the
+            dispatcher.
+        is_committed: Whether it is to be served before all that arrived later,
+            or last once it is late; set by the dispatcher.
+        is_late: Whether it is to be served though it can't start in time; set
+            by the dispatcher.
     """
 
     stream: ids.StreamId
@@ -82,11 +83,15 @@
     is_late: bool = False
 
     def is_paused(self, engine: ids.UpstreamId, now: float) -> bool:
-        """Return whether an engine wants nothing from this job's VM."""
+        """Return whether an engine accepts nothing from this job's VM."""
         return self.paused_until.get(engine, 0.0) > now
 
     def make_run(self, starts_at: float) -> memory.Run:
-        """Return what it holds at a decode engine from some moment on."""
+        """Return its run at a decode engine.
+
+        Args:
+            starts_at: Predicted time of the first token.
+        """
         return memory.Run(
             stream=self.stream,
             entry=self.entry,
@@ -99,11 +104,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placed:
-    """A request's engines.
+    """The engines that a request was placed on.
 
     Attributes:
-        prefill: None if the decode engine reads the prompt itself.
-        why: inputs of the decision, for the log.
+        prefill: Prefill engine; None if the decode engine reads the prompt.
+        why: Inputs of the decision, for the log.
     """
 
     job: Job
@@ -114,11 +119,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """A request that is given up at once.
+    """A request that is refused at once.
 
     Attributes:
-        retry_after: seconds after which there is room for it.
-        why: inputs of the decision, for the log.
+        retry_after: Seconds after which there is room for it.
+        why: Inputs of the decision, for the log.
     """
 
     job: Job
@@ -130,12 +135,12 @@
 
 
 class Lack(enum.Enum):
-    """Why a request can't be placed now.
+    """Reason why a request can't be placed now.
 
     Attributes:
-        MEMORY: no decode engine has room.
-        PREFILL: no engine can read its prompt soon.
-        TRIAL: each decode engine has another suspect that has just begun.
+        MEMORY: No decode engine has room.
+        PREFILL: No engine can read its prompt soon.
+        TRIAL: Each decode engine has another suspect that has just begun.
     """
 
     MEMORY = 'memory'
--- a/galenahatch/core/memory.py
+++ b/galenahatch/core/memory.py
@@ -10,15 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Memory for KV cache at decode engines, over the predicted life of runs.
-
-A run holds its prompt from its start and one token more with each step, and
-frees all of it at its end. What limits an engine is therefore the highest
-sum over time, which is reached just before one of its runs ends. A new run
-fits if the sum stays under the limit at each of those moments. Counting
-places, or what is used now, admits too much: a run that starts small grows
-by two thirds here, and an engine that runs out of memory preempts a run
-and reads its prompt again.
+"""KV cache memory of decode engines over the predicted life of runs.
+
+A run holds its prompt from the start and one more token with each step, and
+frees all of it at its end. An engine is limited by the peak of the sum over
+time, which is reached just before one of its runs ends. A new run fits if the
+sum stays within the limit at each of these times. Counting slots, or the
+present usage, admits too much: a run grows by two thirds here, and an engine
+that runs out of memory preempts a run and reads its prompt again.
 """
 
 import dataclasses
@@ -29,22 +28,22 @@
 from galenahatch import ids
 
 INITIAL_PACE: typing.Final = 0.001
-"""Seconds for a token before any run was measured; middle of what engines
+"""Seconds for a token before any run was measured; the middle of what engines
 of the users' sizes take with half of their slots in use."""
 
-_PACE_TOKENS: typing.Final = 2000.0
-"""Tokens of an engine over which its pace is averaged: one to two seconds
-of ten runs, in which a burst fills an engine."""
-_OVERRUN: typing.Final = 1.25
-"""Predicted length of a run that has outlived its prediction, by what it
-has made so far; the mean for lengths that spread by a factor of 1.4."""
+_PACE_WINDOW_TOKENS: typing.Final = 2000.0
+"""Tokens of an engine over which its pace is averaged: one to two seconds of
+ten runs, the time in which a burst fills an engine."""
+_OVERRUN_FACTOR: typing.Final = 1.25
+"""Predicted length of a run that has exceeded its prediction, as a multiple of
+what it has generated; the mean for lengths that spread by a factor of 1.4."""
 MARGIN_DEVIATIONS: typing.Final = 1.5
-"""Standard deviations that are kept free for longer answers than predicted:
-one sum in fifteen exceeds that. Preempting a run costs its prompt again and a
-pause, an empty place a fraction of a run's time."""
-_RECENT: typing.Final = 1.5
-"""Seconds for which a run that has ended may still stand in a report; the
-reports of engines are up to a second old."""
+"""Standard deviations kept free for answers longer than predicted: one sum in
+fifteen exceeds that. Preempting a run costs its prompt again and a pause, an
+empty slot only a fraction of a run's time."""
+_ENDED_MAX_AGE_S: typing.Final = 1.5
+"""Seconds for which an ended run may still be included in a report; reports of
+engines are up to a second old."""
 
 
 @dataclasses.dataclass
@@ -52,12 +51,12 @@
     """One request at a decode engine.
 
     Attributes:
-        prompt: tokens held from the start.
-        output: predicted tokens of the answer.
-        most: bound on the tokens of the answer.
-        starts_at: when the first token is made, predicted or seen.
-        made: tokens that it was seen to have made.
-        made_at: when it was seen to have made them.
+        prompt_tokens: Tokens held from the start.
+        predicted_output: Predicted tokens of the answer.
+        max_output: Upper bound on the tokens of the answer.
+        starts_at: Time of the first token, predicted or observed.
+        generated: Tokens generated at the last report.
+        generated_at: Time of the last report.
     """
 
     stream: ids.StreamId
@@ -73,32 +72,32 @@
 def safety_margin(runs: typing.Iterable[Run], spread: float) -> float:
     """Return the tokens by which a sum of predictions may fall short.
 
-    Answers are off by a part of their length, each by its own, so errors add
-    up as the root of their squares: ten answers of a tenth of the memory
-    need a fiftieth of it as a margin, twelve of two fifths an eighth.
+    Each answer is off by a fraction of its length, independently, so errors
+    add up as the root of the sum of squares: ten answers of a tenth of the
+    memory need a fiftieth of it as a margin, twelve of two fifths an eighth.
 
     Args:
-        runs: that are summed up.
-        spread: how far lengths lie from their predictions.
+        runs: Runs that are summed up.
+        spread: Relative standard deviation of lengths from their predictions.
     """
     squares = sum(run.predicted_output**2 for run in runs)
     return MARGIN_DEVIATIONS * spread * math.sqrt(squares)
 
 
 class EngineMemory:
-    """Runs of one decode engine, now and predicted.
+    """Present and predicted runs of one decode engine.
 
     Args:
-        capacity: tokens of KV cache.
-        slots: runs at once.
-        pace: what all engines of the service have shown.
+        capacity: Tokens of KV cache.
+        slots: Largest batch size.
+        pace: Pace by batch size of all engines of the service.
     """
 
     def __init__(
         self, capacity: int, slots: int, pace: paces.Pace | None = None
     ) -> None:
-        self._shown = paces.Pace() if pace is None else pace
-        self._beside = 0.0
+        self._service_pace = paces.Pace() if pace is None else pace
+        self._mean_batch = 0.0
         self.capacity = capacity
         self.slots = slots
         self.pace = INITIAL_PACE
@@ -106,7 +105,7 @@
         self.spread = 0.0
         self.unknown_tokens = 0.0
         self._runs: dict[ids.StreamId, Run] = {}
-        self._ended: list[tuple[float, float]] = []
+        self._ended_runs: list[tuple[float, float]] = []
 
     @property
     def runs(self) -> typing.Mapping[ids.StreamId, Run]:
@@ -114,84 +113,92 @@
         return self._runs
 
     def add(self, run: Run) -> None:
-        """Take a run."""
+        """Add a run."""
         self._runs[run.stream] = run
 
     def remove(self, stream: ids.StreamId, now: float) -> Run | None:
-        """Forget a run that has ended."""
+        """Remove a run that has ended."""
         run = self._runs.pop(stream, None)
         if run is not None:
-            self._ended.append((now, self._held(run, now)))
+            self._ended_runs.append((now, self._held_tokens(run, now)))
         return run
 
     def discard(self, stream: ids.StreamId) -> None:
-        """Undo an `add` that nothing came of."""
+        """Undo an `add` for a run that was not placed after all."""
         self._runs.pop(stream, None)
 
     def record_progress(
-        self, stream: ids.StreamId, made: int, made_at: float
+        self, stream: ids.StreamId, tokens: int, at: float
     ) -> None:
-        """Take how far a run has come, as its VM tells it.
+        """Record the progress of a run as reported by its VM.
 
-        What engines make is known while they make it, not only at the end of
-        answers: a burst fills them in less time than an answer takes.
+        The pace is updated while runs generate, not only when they end: a
+        burst fills engines in less time than an answer takes.
         """
         run = self._runs[stream]
-        if made <= run.generated:
+        if tokens <= run.generated:
             return
         if run.generated:
-            self._learn_pace(made - run.generated, made_at - run.generated_at)
-        run.generated = made
-        run.generated_at = made_at
+            self._add_pace_sample(
+                tokens - run.generated, at - run.generated_at
+            )
+        run.generated = tokens
+        run.generated_at = at
 
     def record_end(
         self, stream: ids.StreamId, tokens: int, seconds: float, now: float
     ) -> None:
-        """Take that a run has ended well.
+        """Record that a run has completed.
 
         Args:
-            stream: of the run.
-            tokens: of its answer.
-            seconds: that they took.
-            now: monotonic seconds.
+            stream: Stream of the run.
+            tokens: Tokens of its answer.
+            seconds: Seconds that they took.
+            now: Monotonic time in seconds.
         """
         run = self._runs.get(stream)
         if run is not None and run.generated:
             self.record_progress(stream, tokens, now)
         else:
-            self._learn_pace(tokens, seconds)
+            self._add_pace_sample(tokens, seconds)
 
-    def _learn_pace(self, tokens: int, seconds: float) -> None:
+    def _add_pace_sample(self, tokens: int, seconds: float) -> None:
         if tokens <= 0 or seconds <= 0:
             return
         self.paced_tokens += tokens
         weight = min(
-            1.0, max(tokens / _PACE_TOKENS, tokens / self.paced_tokens)
+            1.0, max(tokens / _PACE_WINDOW_TOKENS, tokens / self.paced_tokens)
         )
         self.pace += weight * (seconds / tokens - self.pace)
         runs = max(1, len(self._runs))
-        self._beside += weight * (runs - self._beside)
-        self._shown.add_sample(runs, tokens, seconds)
+        self._mean_batch += weight * (runs - self._mean_batch)
+        self._service_pace.add_sample(runs, tokens, seconds)
 
     def pace_at_batch(self, runs: float) -> float:
-        """Return the seconds for a token beside some number of runs."""
-        return self.pace * self._shown.slowdown(self._beside, runs)
+        """Return the seconds for a token at a batch size."""
+        return self.pace * self._service_pace.slowdown(self._mean_batch, runs)
 
     def record_usage(self, used: int, now: float) -> None:
-        """Take the used tokens of a report.
+        """Record the used tokens that the engine reports.
 
-        What is over everything that this owner knows of, now and shortly
-        before, belongs to others: to runs that another owner placed.
+        Usage beyond all runs known to this owner, present or recently ended,
+        belongs to runs that another owner placed.
         """
-        self._ended = [e for e in self._ended if now - e[0] < _RECENT]
-        own = sum(self._held(run, now) for run in self._runs.values())
-        own += sum(tokens for _, tokens in self._ended)
-        self.unknown_tokens = max(0.0, used - own)
+        self._ended_runs = [
+            entry
+            for entry in self._ended_runs
+            if now - entry[0] < _ENDED_MAX_AGE_S
+        ]
+        known_tokens = sum(
+            self._held_tokens(run, now) for run in self._runs.values()
+        )
+        known_tokens += sum(tokens for _, tokens in self._ended_runs)
+        self.unknown_tokens = max(0.0, used - known_tokens)
 
     def peak_usage(self, added: Run, now: float) -> float:
-        """Return the highest predicted use with one more run."""
-        spans = [self._span(run, now) for run in self._runs.values()]
-        spans.append(self._span(added, now))
+        """Return the highest predicted usage with one more run."""
+        spans = [self._lifespan(run, now) for run in self._runs.values()]
+        spans.append(self._lifespan(added, now))
         pace = self.pace
         highest = self.unknown_tokens
         for _, moment, _ in spans:
@@ -200,7 +207,7 @@
                 if start <= moment <= end:
                     used += prompt + (moment - start) / pace
                 elif start > moment:
-                    # It has its memory from the moment it is admitted.
+                    # It holds its prompt from its admission.
                     used += prompt
             highest = max(highest, used)
         return highest
@@ -210,47 +217,50 @@
         if len(self._runs) >= self.slots:
             return False
         if not self._runs and not self.unknown_tokens:
-            # Nothing is gained by waiting; if it is too large, the engine
-            # says so.
+            # Waiting gains nothing; the engine rejects too large a run.
             return True
-        # Bounds that are cheap: an owner decides some hundred times a
-        # second over all engines, and the sum over time costs the square
-        # of the runs.
+        # Check cheap bounds first: an owner decides a few hundred times a
+        # second over all engines, and the peak takes quadratic time.
         runs = (*self._runs.values(), added)
-        room = self.capacity - safety_margin(runs, self.spread)
-        most = self.unknown_tokens + sum(
+        usable = self.capacity - safety_margin(runs, self.spread)
+        upper = self.unknown_tokens + sum(
             run.prompt_tokens
-            + max(run.predicted_output, _OVERRUN * self._made(run, now))
+            + max(
+                run.predicted_output,
+                _OVERRUN_FACTOR * self._generated_tokens(run, now),
+            )
             for run in runs
         )
-        if most <= room:
+        if upper <= usable:
             return True
-        least = self.unknown_tokens + sum(run.prompt_tokens for run in runs)
-        if least > room:
+        lower = self.unknown_tokens + sum(run.prompt_tokens for run in runs)
+        if lower > usable:
             return False
-        return self.peak_usage(added, now) <= room
+        return self.peak_usage(added, now) <= usable
 
     def load(self, now: float) -> float:
-        """Return the part of the memory that is held now."""
-        held = sum(self._held(run, now) for run in self._runs.values())
+        """Return the fraction of the memory that is used now."""
+        held = sum(self._held_tokens(run, now) for run in self._runs.values())
         return (held + self.unknown_tokens) / max(1, self.capacity)
 
-    def _span(self, run: Run, now: float) -> tuple[float, float, int]:
-        """Return start, predicted end and prompt of a run."""
-        made = self._made(run, now)
+    def _lifespan(self, run: Run, now: float) -> tuple[float, float, int]:
+        """Return the start, predicted end and prompt tokens of a run."""
+        generated = self._generated_tokens(run, now)
         output = float(run.predicted_output)
-        if made > output:
-            output = min(run.max_output, made * _OVERRUN)
-        if made > 0:
-            # As if it had always made tokens at the present pace.
-            starts_at = now - made * self.pace
+        if generated > output:
+            output = min(run.max_output, generated * _OVERRUN_FACTOR)
+        if generated > 0:
+            # Assume the present pace since the start.
+            starts_at = now - generated * self.pace
             return starts_at, starts_at + output * self.pace, run.prompt_tokens
         end = run.starts_at + output * self.pace
         return run.starts_at, max(now, end), run.prompt_tokens
 
-    def _held(self, run: Run, now: float) -> float:
-        return run.prompt_tokens + min(run.max_output, self._made(run, now))
+    def _held_tokens(self, run: Run, now: float) -> float:
+        return run.prompt_tokens + min(
+            run.max_output, self._generated_tokens(run, now)
+        )
 
-    def _made(self, run: Run, now: float) -> float:
+    def _generated_tokens(self, run: Run, now: float) -> float:
         since = run.generated_at if run.generated else run.starts_at
         return run.generated + max(0.0, now - since) / self.pace
--- a/galenahatch/core/modelengines.py
+++ b/galenahatch/core/modelengines.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""One model engine as its owner sees it, at either stage.
+"""State of one model engine as seen by its owner, for either stage.
 
-An engine that failed is left alone for a while (`Health`). A prefill engine
-is a line of prompts, a decode engine a memory with the runs in it.
+An engine that failed is suspended for a while (`Health`). A prefill engine is
+a queue of prompts, a decode engine a memory with its runs.
 """
 
 import dataclasses
@@ -26,48 +26,49 @@
 from galenahatch.core import upstreams
 from galenahatch import ids
 
-_SUSPECT_FIRST: typing.Final = 0.5
-_SUSPECT_MOST: typing.Final = 4.0
-"""Seconds for which an engine that failed is left alone, doubled with each
-failure up to the second figure: upstreams that crash are back, or their
-entry is gone, within about four seconds."""
-_TRIAL: typing.Final = 0.5
-"""Seconds for which an engine that was unreachable is tried with one run
-before it gets the next, unless that one makes its first event earlier (0.2
-to 0.3 s after it was placed). Two engines that were gone were sent 50 runs
-in three seconds without it, and 27 prompts were read for them in vain."""
-_SLOW: typing.Final = 1.8
-"""Times the expected time from which on an engine counts as slow; results
-that wait for another prompt or a busy gateway come a half later now and then.
+_INITIAL_BACKOFF_S: typing.Final = 0.5
+_MAX_BACKOFF_S: typing.Final = 4.0
+"""Seconds for which an engine that failed is suspended, doubled with each
+failure up to the second value: upstreams that crash are back, or their entry
+is gone, within about 4 s."""
+_TRIAL_S: typing.Final = 0.5
+"""Seconds for which an engine that was unreachable runs a single trial before
+it gets the next run, unless the trial makes its first event earlier (0.2 to
+0.3 s after its placement). Without it, two engines that were gone were sent 50
+runs in three seconds, and 27 prompts were read for nothing."""
+_SLOW_FACTOR: typing.Final = 1.8
+"""Ratio of actual to expected time above which an engine counts as slow;
+results that wait for another prompt or a busy gateway occasionally take half
+as long again."""
+_SLOWNESS_SMOOTHING: typing.Final = 0.6
+"""Weight of the newest result: an engine that slows down by four is detected
+by the second result, and its recovery by the third."""
+_RESULT_TIMEOUT_S: typing.Final = 1.5
+"""Seconds for which VMs wait for a result, including message delays."""
+_NETWORK_DELAY_S: typing.Final = 0.15
+"""Largest delay of messages between VMs in seconds, on small VMs under load.
 """
-_SLOW_WEIGHT: typing.Final = 0.6
-"""Weight of the newest result: an engine that turned slow by four is known
-for it by the second result, and one that is well again by its third."""
-_WAITED_FOR: typing.Final = 1.5
-"""Seconds for which VMs wait for a result, with the way of their word."""
-_WAY: typing.Final = 0.15
-"""Seconds that words between VMs may take, on small VMs under load."""
-_SLOW_FADES: typing.Final = 4.0
-"""Seconds in which what was seen loses all but a third: faults last for four
-to seven seconds, and a trial costs one prompt that is late."""
-_AT_ONCE: typing.Final = 0.15
-"""Part of a delay within which a prompt counts as begun when it was given;
-times of prefills spread by a tenth."""
+_SLOWNESS_DECAY_S: typing.Final = 4.0
+"""Seconds in which observed slowness decays to a third: faults last for four
+to seven seconds, and a trial costs one late prompt."""
+_IMMEDIATE_FRACTION: typing.Final = 0.15
+"""Fraction of the delay within which a prompt counts as begun on arrival;
+prefill times spread by a tenth."""
 
 
 @dataclasses.dataclass
 class Health:
-    """Whether an engine is left alone.
+    """Suspension of an engine after failures.
 
-    One that failed is left alone for a while. It is then tried with one run
-    at a time: one that errs at once is always the emptiest, and was given
-    eleven runs in five seconds without that, each with its prompt read.
+    After the suspension, the engine is tried with one run at a time: an engine
+    that fails at once is always the least loaded, and otherwise got eleven
+    runs in five seconds, each with its prompt read.
 
     Attributes:
-        until: when it may be given a run.
-        unreachable: whether nothing could be sent to it the last time. Such
-            an engine is never the way out when all others are left alone.
-        trial_until: until when it is left alone for a run that is tried.
+        suspended_until: Time from which it may be given a run.
+        unreachable: Whether the last attempt could send nothing to it. Such an
+            engine is never the fallback when all others are suspended.
+        trial_until: Time until which it is suspended for a trial run.
     """
 
     failures: int = 0
@@ -76,128 +77,132 @@
     trial_until: float = 0.0
 
     def record_failure(self, now: float, unreachable: bool = False) -> None:
-        """Note a failure."""
+        """Record a failure."""
         self.failures += 1
-        # Once unreachable, only a run that works there shows the contrary: a
-        # stream that then breaks off was sent before.
+        # Only a successful run shows that an unreachable engine is back: a
+        # stream that breaks off now was sent before.
         self.unreachable = self.unreachable or unreachable
-        wait = _SUSPECT_FIRST * 2 ** (self.failures - 1)
-        self.suspended_until = now + min(wait, _SUSPECT_MOST)
+        wait = _INITIAL_BACKOFF_S * 2 ** (self.failures - 1)
+        self.suspended_until = now + min(wait, _MAX_BACKOFF_S)
 
     def record_run(self, now: float) -> None:
-        """Note a run that is sent to it."""
+        """Record that a run is sent to it."""
         if self.failures:
-            self.trial_until = now + _TRIAL
+            self.trial_until = now + _TRIAL_S
             self.suspended_until = max(self.suspended_until, self.trial_until)
 
     def record_first_event(self) -> None:
-        """Note that a run made its first event there."""
+        """Record that a run produced its first event."""
         if self.unreachable:
             self.record_success()
-        # The next run need not wait for this one. The event may be of a run
-        # from before the failure, and the engine may still break all off: so
-        # neither the count nor a pause that is longer ends with it.
+        # Ends the trial only. The event may be of a run from before the
+        # failure, and the engine may still break off all runs, so the count
+        # of failures and a longer suspension stay.
         if self.suspended_until <= self.trial_until:
             self.suspended_until = 0.0
 
     def record_success(self) -> None:
-        """Note a run that ended well there."""
+        """Record that a run completed."""
         self.failures = 0
         self.suspended_until = 0.0
         self.unreachable = False
 
 
 @dataclasses.dataclass(frozen=True)
-class _Given:
-    """A prompt that an engine was given.
+class _PendingPrompt:
+    """A prompt that an engine was given and has not answered.
 
     Attributes:
-        at: when.
-        expected: seconds until its result at an engine that is well.
+        assigned_at: Time at which it was given to the engine.
+        expected: Seconds until the result at a healthy engine.
     """
 
-    at: float
+    assigned_at: float
     expected: float
 
 
 class PrefillEngine:
-    """One line of work.
+    """Queue of prompts of one prefill engine.
 
-    Engines turn slow without a word. How much longer than expected an engine
-    takes is seen from each result, and from one that is overdue while it is.
-    What was seen fades, so one that was left alone for it is tried again.
+    Engines may slow down without notice. The slowdown is measured from each
+    result, and from a pending one once it is overdue. It decays, so a slow
+    engine that was avoided is tried again.
 
     Attributes:
-        idle_at: when it will have read what it was given.
-        unread: what it was given and has not answered.
+        idle_at: Time at which it will have read its prompts.
+        pending: Prompts given to it and not answered.
     """
 
     def __init__(self, upstream: upstreams.Upstream) -> None:
         self.upstream = upstream
         self.health = Health()
         self.idle_at = 0.0
-        self.pending: dict[ids.StreamId, _Given] = {}
-        self._read_at = -1e9
-        self._seen = 1.0
-        self._seen_at = 0.0
+        self.pending: dict[ids.StreamId, _PendingPrompt] = {}
+        self._last_result_at = -1e9
+        self._slowness = 1.0
+        self._slowness_at = 0.0
 
     def assign(
         self,
         stream: ids.StreamId,
-        reading: float,
-        occupied: float,
+        expected: float,
+        busy: float,
         now: float,
     ) -> None:
-        """Note a prompt that is sent to it.
+        """Record a prompt that is sent to it.
 
         Args:
-            stream: that wants it.
-            reading: seconds until the result at an idle engine that is well.
-            occupied: seconds for which such an engine reads nothing else.
-            now: monotonic seconds.
+            stream: Stream that the prompt belongs to.
+            expected: Seconds until the result at a healthy, idle engine.
+            busy: Seconds for which such an engine reads nothing else.
+            now: Monotonic time in seconds.
         """
-        begins = max(now, self.idle_at)
-        self.pending[stream] = _Given(now, max(1e-3, begins - now + reading))
-        self.idle_at = begins + occupied * self._learnt(now)
+        begins_at = max(now, self.idle_at)
+        self.pending[stream] = _PendingPrompt(
+            now, max(1e-3, begins_at - now + expected)
+        )
+        self.idle_at = begins_at + busy * self._observed_slowness(now)
         self.health.record_run(now)
 
     def slowness(self, now: float) -> float:
-        """Return how many times as long as expected its work takes.
+        """Return the ratio of actual to expected time of its work.
 
-        What is overdue counts as long as its VM may still wait for it; one
-        that ended tells nothing any more.
+        An overdue prompt counts while its VM may still wait for it; afterwards
+        it carries no information.
         """
-        seen = self._learnt(now)
-        for given in self.pending.values():
-            if now - given.at < _WAITED_FOR:
-                waited = now - given.at - _WAY
-                seen = max(seen, waited / given.expected)
-        return seen if seen > _SLOW else 1.0
-
-    def _learnt(self, now: float) -> float:
-        """Return the same, as results have shown."""
-        fading = math.exp(-max(0.0, now - self._seen_at) / _SLOW_FADES)
-        seen = 1.0 + (self._seen - 1.0) * fading
-        return seen if seen > _SLOW else 1.0
+        slowness = self._observed_slowness(now)
+        for prompt in self.pending.values():
+            if now - prompt.assigned_at < _RESULT_TIMEOUT_S:
+                waited = now - prompt.assigned_at - _NETWORK_DELAY_S
+                slowness = max(slowness, waited / prompt.expected)
+        return slowness if slowness > _SLOW_FACTOR else 1.0
+
+    def _observed_slowness(self, now: float) -> float:
+        """Return the same as shown by past results."""
+        decay = math.exp(
+            -max(0.0, now - self._slowness_at) / _SLOWNESS_DECAY_S
+        )
+        slowness = 1.0 + (self._slowness - 1.0) * decay
+        return slowness if slowness > _SLOW_FACTOR else 1.0
 
     def record_result(
         self, stream: ids.StreamId, seconds: float, now: float
     ) -> None:
-        """Note that it has read the prompt of a stream.
+        """Record that it has read the prompt of a stream.
 
         Args:
-            stream: that wanted it.
-            seconds: that its VM waited for the result. The way of the words
-                between VMs is none of it: a VM that is slow itself would
-                have made all engines look slow.
-            now: monotonic seconds.
+            stream: Stream that the prompt belongs to.
+            seconds: Seconds that its VM waited for the result. Message delays
+                between VMs are excluded: a slow VM would make all engines look
+                slow.
+            now: Monotonic time in seconds.
         """
-        given = self.pending.pop(stream, None)
-        if given is None:
+        prompt = self.pending.pop(stream, None)
+        if prompt is None:
             return
-        seen = max(1.0, seconds / given.expected)
-        self._seen += _SLOW_WEIGHT * (seen - self._seen)
-        self._seen_at = now
+        slowness = max(1.0, seconds / prompt.expected)
+        self._slowness += _SLOWNESS_SMOOTHING * (slowness - self._slowness)
+        self._slowness_at = now
 
     def record_overlap(
         self,
@@ -207,35 +212,42 @@
         alone: float,
         now: float,
     ) -> float | None:
-        """Note that a prompt was read.
+        """Record a result; return how far prefills overlap.
 
         Args:
-            placed_at: when it was given to the engine.
-            tokens: of the prompt.
-            line: what a prompt takes at an idle engine.
-            alone: part of the delay in which it is believed to read nothing.
-            now: when its result came.
+            placed_at: Time at which the prompt was given to the engine.
+            tokens: Tokens of the prompt.
+            line: Prefill time at an idle engine.
+            alone: Present estimate of the fraction of the delay without
+                reading.
+            now: Time at which the result arrived.
 
         Returns:
-            The part of the delay of the prompt before in which the engine
-            had not begun with this one; None if it tells nothing of that.
+            Fraction of the previous prompt's delay in which the engine had not
+            begun this one; None if that can't be told.
         """
-        before, self._read_at = self._read_at, max(now, self._read_at)
-        if line.delay <= 0 or placed_at >= before:
+        previous, self._last_result_at = (
+            self._last_result_at,
+            max(now, self._last_result_at),
+        )
+        if line.delay <= 0 or placed_at >= previous:
             return None
-        idle_at = before - line.delay
-        begun = now - line.seconds(tokens)
-        seen = (begun - idle_at) / line.delay
-        has_waited = begun - max(placed_at, idle_at) > _AT_ONCE * line.delay
-        # One that was begun at once can only show that less is lost.
-        return seen if has_waited else min(seen, alone)
+        idle_at = previous - line.delay
+        begun_at = now - line.seconds(tokens)
+        lost_fraction = (begun_at - idle_at) / line.delay
+        has_waited = (
+            begun_at - max(placed_at, idle_at)
+            > _IMMEDIATE_FRACTION * line.delay
+        )
+        # A prompt begun on arrival can only lower the estimate.
+        return lost_fraction if has_waited else min(lost_fraction, alone)
 
 
 class DecodeEngine:
-    """Memory, and the runs in it.
+    """Memory and runs of one decode engine.
 
     Attributes:
-        reads_until: until when it reads a prompt itself.
+        prefilling_until: Time until which it reads a prompt itself.
     """
 
     def __init__(
@@ -251,5 +263,5 @@
         self.prefilling_until = -1e9
 
     def fits(self, run: memory.Run, now: float) -> bool:
-        """Return whether one more run has room."""
+        """Return whether one more run fits."""
         return self.memory.fits(run, now)
--- a/galenahatch/test/test_extras.py
+++ b/galenahatch/test/test_extras.py
@@ -78,6 +78,9 @@
     ),
     strategies.sets(strategies.integers(0, 5)),
 )
+@hypothesis.example(
+    steps=[(vm, 'retry', 1, 0.0) for vm in range(6)], cut_off=set(range(6))
+)
 def test_granted_budget_over_owners(
     steps: list[tuple[int, str, int, float]], cut_off: set[int]
 ) -> None:
