--- a/galenahatch/gateway/ratelimits.py
+++ b/galenahatch/gateway/ratelimits.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Rate limits that upstreams name: what gateways tell, ask and grant.
+"""Rate limits set by upstreams, enforced over all gateways.
 
-A gateway that hears of a limit, or of its end, tells the owner at once, and
-the owner tells all with its answers to beats. A plain call to a limited
-upstream asks the owner first; generations ask it for engines anyway, and it
-counts those itself.
+A gateway that learns from a response that a limit was set or removed reports
+it to the owner at once, and the owner informs all gateways with its heartbeat
+replies. A plain call to a limited upstream needs a permit from the owner.
+Generations are placed by the owner anyway, which counts them itself.
 """
 
 import asyncio
@@ -35,32 +35,32 @@
 from galenahatch import logs
 from galenahatch import timeouts
 
-_LOG_EVERY: typing.Final = 1.0
-"""Seconds between two lines on one upstream that says something new in each
-answer."""
-_MOST_LABELS: typing.Final = 100
-"""Upstreams that metrics show each by itself."""
-_REST: typing.Final = '(others)'
-_ANSWER_WITHIN: typing.Final = 0.05
-"""Seconds for the owner's answer; round trips take some ms. A call whose
-owner is away turns to another upstream after that."""
-_NO_ANSWER_PAUSE: typing.Final = 0.25
-"""Seconds for which an owner that did not answer is not asked again."""
+_LOG_INTERVAL_S: typing.Final = 1.0
+"""Minimum interval of log lines about an upstream that changes its limit with
+each response."""
+_MAX_UPSTREAM_LABELS: typing.Final = 100
+"""Number of upstreams that have a metric label of their own."""
+_OTHERS_LABEL: typing.Final = '(others)'
+_PERMIT_TIMEOUT_S: typing.Final = 0.05
+"""Timeout of the owner's reply; round trips take a few ms. If the owner is not
+reachable, the call then tries another upstream."""
+_NO_REPLY_BACKOFF_S: typing.Final = 0.25
+"""Time without further permit requests after the owner did not reply."""
 _log = logs.Log('ratelimits')
 
 
 class Peers(typing.Protocol):
-    """The other gateways, as far as they matter here."""
+    """Interface to the other gateways."""
 
     me: ids.MemberId
 
     @property
     def size(self) -> int:
-        """Gateways that there are."""
+        """Number of gateways."""
         ...
 
     def owner(self) -> ids.MemberId:
-        """Return who decides."""
+        """Return the member that is the owner."""
         ...
 
     def send(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
@@ -68,52 +68,52 @@
         ...
 
     def reply(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
-        """Answer a gateway."""
+        """Reply to a gateway."""
         ...
 
     def tell_owner(self, message: frames.AnyMessage) -> None:
-        """Send a message to the owner and whoever may be the next one."""
+        """Send a message to the owner and to its possible successor."""
         ...
 
 
 @dataclasses.dataclass(frozen=True)
-class _Pause:
-    """Until when an upstream is not asked for.
+class _Backoff:
+    """Backoff of permit requests for one upstream.
 
     Attributes:
-        until: when the owner may be asked again.
-        room_at: when the owner expects room.
+        retry_at: Time at which the owner may be asked again.
+        available_at: Time at which the owner expects to grant a permit.
     """
 
-    until: float
-    room_at: float
+    retry_at: float
+    available_at: float
 
 
 class RateLimits:
-    """This gateway's part in keeping them."""
+    """Rate limits as known and enforced by this gateway."""
 
     def __init__(self) -> None:
         self._limiter = ratelimits.Limiter(clock.RANDOM)
         self._notices = self._limiter.notices
         self._logged_at: dict[ids.UpstreamId, float] = {}
-        self._pauses: dict[ids.UpstreamId, _Pause] = {}
-        self._questions: dict[int, asyncio.Future[float]] = {}
-        self._numbers = itertools.count()
+        self._backoffs: dict[ids.UpstreamId, _Backoff] = {}
+        self._pending_permits: dict[int, asyncio.Future[float]] = {}
+        self._permit_numbers = itertools.count()
         self._labels: set[ids.UpstreamId] = set()
         self._peers: Peers | None = None
-        instruments.watch(instruments.RATE_LIMIT, self._rates)
-        instruments.watch(instruments.LIMITED_SECONDS, self._ages)
+        instruments.watch(instruments.RATE_LIMIT, self._rate_by_upstream)
+        instruments.watch(instruments.LIMITED_SECONDS, self._age_by_upstream)
 
     def set_peers(self, peers: Peers) -> None:
-        """Talk to other gateways from now on."""
+        """Connect to the other gateways."""
         self._peers = peers
 
     @property
     def limiter(self) -> ratelimits.Limiter:
-        """What this gateway grants as the owner."""
+        """Limiter that this gateway applies as the owner."""
         return self._limiter
 
-    # What upstreams say.
+    # Limits received from upstreams.
 
     def observe_response(
         self,
@@ -121,12 +121,12 @@
         sent_at: float,
         head: calls.ResponseHead,
     ) -> None:
-        """Take the head of an answer."""
+        """Update the limit of an upstream from the head of a response."""
         rate = head.rate_limit
         if isinstance(rate, errors.Failure):
             if self._may_log(upstream):
                 _log.warning(
-                    'Bad rate limit ignored.',
+                    'Ignoring invalid rate limit.',
                     upstream=upstream,
                     request=head.request_id,
                     detail=rate.detail,
@@ -135,15 +135,15 @@
         now = clock.now()
         if not self._notices.answered(upstream, rate, sent_at, now):
             return
-        self._changed(upstream, 'answer', head.request_id)
+        self._apply_change(upstream, 'answer', head.request_id)
         if self._peers is not None:
             self._peers.tell_owner(messages.RateLimits(self.snapshot()))
 
-    def _changed(
+    def _apply_change(
         self, upstream: ids.UpstreamId, source: str, request: str = ''
     ) -> None:
         self._limiter.changed(upstream, clock.now())
-        self._pauses.pop(upstream, None)
+        self._backoffs.pop(upstream, None)
         self._log_change(upstream, source, request)
 
     def _log_change(
@@ -153,7 +153,7 @@
             return
         rate = self._notices.rate(upstream)
         _log.info(
-            'Rate limit lifted.' if rate is None else 'Rate limit named.',
+            'Rate limit removed.' if rate is None else 'Rate limit set.',
             upstream=upstream,
             rate=rate or 0.0,
             source=source,
@@ -162,131 +162,141 @@
 
     def _may_log(self, upstream: ids.UpstreamId) -> bool:
         now = clock.now()
-        if now - self._logged_at.get(upstream, -_LOG_EVERY) < _LOG_EVERY:
+        if (
+            now - self._logged_at.get(upstream, -_LOG_INTERVAL_S)
+            < _LOG_INTERVAL_S
+        ):
             return False
         self._logged_at[upstream] = now
         return True
 
     def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
-        """Drop upstreams that are gone."""
+        """Drop upstreams that are not known any more."""
         self._limiter.forget(known, clock.now())
-        for gone in [key for key in self._logged_at if key not in known]:
-            del self._logged_at[gone]
-        for gone in [key for key in self._pauses if key not in known]:
-            del self._pauses[gone]
+        for removed in [key for key in self._logged_at if key not in known]:
+            del self._logged_at[removed]
+        for removed in [key for key in self._backoffs if key not in known]:
+            del self._backoffs[removed]
 
-    # What gateways tell each other.
+    # Messages between gateways.
 
     def snapshot(self) -> tuple[records.RateLimit, ...]:
-        """Return what other gateways should know."""
+        """Return the limits to report to other gateways."""
         return tuple(
-            records.RateLimit(one.upstream, one.rate, one.age)
-            for one in self._notices.tell(clock.now())
+            records.RateLimit(notice.upstream, notice.rate, notice.age)
+            for notice in self._notices.tell(clock.now())
         )
 
-    def merge_reported(self, told: tuple[records.RateLimit, ...]) -> None:
-        """Take what another gateway tells."""
+    def merge_reported(self, reported: tuple[records.RateLimit, ...]) -> None:
+        """Merge the limits that another gateway reported."""
         now = clock.now()
-        for one in told:
-            notice = ratelimits.Told(one.upstream, one.rate, one.age)
+        for limit in reported:
+            notice = ratelimits.Told(limit.upstream, limit.rate, limit.age)
             if self._notices.hear(notice, now):
-                self._changed(one.upstream, 'peer')
+                self._apply_change(limit.upstream, 'peer')
 
-    def set_owned_share(self, part: float) -> None:
-        """Note for which part of all gateways this one decides."""
-        self._limiter.decide_for(part)
+    def set_owned_share(self, share: float) -> None:
+        """Set the share of all gateways that this one decides for."""
+        self._limiter.decide_for(share)
 
     def handle_message(
         self, member: ids.MemberId, message: frames.AnyMessage
     ) -> None:
-        """Take a question, or the answer to one."""
+        """Handle a permit request, or the reply to one."""
         if isinstance(message, messages.Permitted):
-            question = self._questions.get(message.number)
-            if question is not None and not question.done():
-                question.set_result(message.wait)
+            pending = self._pending_permits.get(message.number)
+            if pending is not None and not pending.done():
+                pending.set_result(message.wait)
         elif isinstance(message, messages.Permit):
             assert self._peers is not None
             self.merge_reported((message.limit,))
-            wait = self._decide(message.limit.upstream)
+            wait = self._grant(message.limit.upstream)
             self._peers.reply(member, messages.Permitted(message.number, wait))
 
     # Plain calls.
 
     async def acquire(self, upstream: ids.UpstreamId) -> float:
-        """Count one request to an upstream.
+        """Acquire a permit for one request to an upstream.
 
         Returns:
-            0 if it may be sent now, else the seconds until there is room.
+            0 if the request may be sent now, else the seconds until a permit
+            is expected to be available.
         """
         now = clock.now()
         if self._notices.rate(upstream) is None:
             return 0.0
-        pause = self._pauses.get(upstream)
-        if pause is not None and now < pause.until:
-            self._note_held_back(upstream)
-            return max(pause.until, pause.room_at) - now
-        wait = await self._ask(upstream)
+        backoff = self._backoffs.get(upstream)
+        if backoff is not None and now < backoff.retry_at:
+            self._count_held_back(upstream)
+            return max(backoff.retry_at, backoff.available_at) - now
+        wait = await self._request_permit(upstream)
         if wait == 0.0:
             return 0.0
         assert self._peers is not None
-        pause_for = _NO_ANSWER_PAUSE
+        backoff_for = _NO_REPLY_BACKOFF_S
         if wait is not None:
-            pause_for = ratelimits.pause(wait, self._peers.size)
-        room_in = _NO_ANSWER_PAUSE if wait is None else wait
-        self._pauses[upstream] = _Pause(now + pause_for, now + room_in)
-        self._note_held_back(upstream)
-        return room_in
-
-    def _note_held_back(self, upstream: ids.UpstreamId) -> None:
-        if len(self._labels) < _MOST_LABELS:
+            backoff_for = ratelimits.pause(wait, self._peers.size)
+        available_in = _NO_REPLY_BACKOFF_S if wait is None else wait
+        self._backoffs[upstream] = _Backoff(
+            now + backoff_for, now + available_in
+        )
+        self._count_held_back(upstream)
+        return available_in
+
+    def _count_held_back(self, upstream: ids.UpstreamId) -> None:
+        if len(self._labels) < _MAX_UPSTREAM_LABELS:
             self._labels.add(upstream)
-        label = upstream if upstream in self._labels else _REST
+        label = upstream if upstream in self._labels else _OTHERS_LABEL
         instruments.held_back.add(1, {'upstream': label})
 
-    async def _ask(self, upstream: ids.UpstreamId) -> float | None:
-        """Ask the owner.
+    async def _request_permit(self, upstream: ids.UpstreamId) -> float | None:
+        """Request a permit from the owner.
 
         Returns:
-            The seconds to wait, or 0; None if the owner does not answer.
+            Seconds to wait, 0 if granted; None if the owner does not reply.
         """
         assert self._peers is not None
         owner = self._peers.owner()
         if owner == self._peers.me:
-            return self._decide(upstream)
-        number = next(self._numbers)
-        question = asyncio.get_running_loop().create_future()
-        self._questions[number] = question
+            return self._grant(upstream)
+        number = next(self._permit_numbers)
+        pending = asyncio.get_running_loop().create_future()
+        self._pending_permits[number] = pending
         notice = self._notices.known[upstream]
         age = max(0.0, clock.now() - notice.at)
         limit = records.RateLimit(upstream, notice.rate, age)
         self._peers.send(owner, messages.Permit(self._peers.me, number, limit))
         try:
-            async with timeouts.limit(_ANSWER_WITHIN):
-                return float(await question)
+            async with timeouts.limit(_PERMIT_TIMEOUT_S):
+                return float(await pending)
         except asyncio.TimeoutError:
             return None
         finally:
-            del self._questions[number]
+            del self._pending_permits[number]
 
-    def _decide(self, upstream: ids.UpstreamId) -> float:
-        """Grant a request as the owner; return the seconds to wait, or 0."""
+    def _grant(self, upstream: ids.UpstreamId) -> float:
+        """Grant a permit as the owner, or return the seconds to wait."""
         denied = self._limiter.take(upstream, clock.now())
         if denied is None:
             return 0.0
-        return denied.retry_after or _NO_ANSWER_PAUSE
+        return denied.retry_after or _NO_REPLY_BACKOFF_S
 
-    def _limited(self) -> list[tuple[ids.UpstreamId, ratelimits.Notice]]:
-        """Return the limits in force, of very many the first ones."""
+    def _active_limits(self) -> list[tuple[ids.UpstreamId, ratelimits.Notice]]:
+        """Return the limits in force, up to the number of metric labels."""
         limited = [
             (upstream, notice)
             for upstream, notice in self._notices.known.items()
             if notice.rate is not None
         ]
-        return limited[:_MOST_LABELS]
+        return limited[:_MAX_UPSTREAM_LABELS]
 
-    def _rates(self) -> dict[str, float]:
-        return {key: notice.rate or 0.0 for key, notice in self._limited()}
+    def _rate_by_upstream(self) -> dict[str, float]:
+        return {
+            key: notice.rate or 0.0 for key, notice in self._active_limits()
+        }
 
-    def _ages(self) -> dict[str, float]:
+    def _age_by_upstream(self) -> dict[str, float]:
         now = clock.now()
-        return {key: now - notice.since for key, notice in self._limited()}
+        return {
+            key: now - notice.since for key, notice in self._active_limits()
+        }
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Reads the reports of model engines, as long as this gateway decides."""
+"""Polls the load reports of model engines while this gateway is the owner."""
 
 import asyncio
 import typing
@@ -30,23 +30,22 @@
 from galenahatch.platform import engines
 from galenahatch import tasks
 
-_REPORT_EVERY: typing.Final = 1.0
-"""Seconds between two readings of an engine's report, which is itself up to
-a second old and is paid for."""
-_REPORT_TIMEOUT: typing.Final = 0.5
+_POLL_INTERVAL_S: typing.Final = 1.0
+"""A report is itself up to a second old, and each poll costs a request."""
+_REPORT_TIMEOUT_S: typing.Final = 0.5
 _log = logs.Log('reports')
 
 
 class ReportPoller:
-    """Keeps the owner's picture of the engines true.
+    """Keeps the owner's view of the engines up to date.
 
     Args:
-        directory: upstreams.
-        mesh: tells who is the owner.
-        owner: that is told.
-        sender: for the calls.
-        limiter: of upstreams, which count these calls too.
-        notices: which upstreams want no calls now.
+        directory: Source of upstreams.
+        mesh: Source of the current owner.
+        owner: Owner whose dispatchers receive the reports.
+        sender: Sender for the polls.
+        limiter: Rate limiter of upstreams, which count polls as requests.
+        notices: Source of upstreams that asked for a pause.
     """
 
     def __init__(
@@ -66,24 +65,24 @@
         self._limiter = limiter
 
     def start(self, background: tasks.Tasks) -> None:
-        """Start to read."""
-        background.keep('reports', self._forever)
+        """Start the polling task."""
+        background.keep('reports', self._poll_forever)
 
-    async def _forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while True:
-            await asyncio.sleep(_REPORT_EVERY)
+            await asyncio.sleep(_POLL_INTERVAL_S)
             if self._mesh.owner() != self._mesh.me:
                 continue
             for service, dispatcher in list(self._owner.dispatchers.items()):
-                await self._read_service(service, dispatcher)
+                await self._poll_service(service, dispatcher)
             self._owner.refresh_engines()
 
-    async def _read_service(
+    async def _poll_service(
         self, service: ids.ServiceName, dispatcher: dispatch.Dispatcher
     ) -> None:
         registry = self._directory.registry
         now = clock.now()
-        found = [
+        polled = [
             engine
             for engine in registry.usable(service, now)
             if not self._notices.pause_left(engine.id)
@@ -92,40 +91,44 @@
         replies = await asyncio.gather(
             *(
                 self._sender.request_small(
-                    'GET', engine.address, engines.REPORT, _REPORT_TIMEOUT
+                    'GET', engine.address, engines.REPORT, _REPORT_TIMEOUT_S
                 )
-                for engine in found
+                for engine in polled
             )
         )
-        for engine, reply in zip(found, replies, strict=True):
+        for engine, reply in zip(polled, replies, strict=True):
             if isinstance(reply, errors.Failure):
                 _log.warning(
-                    'No report.', engine=engine.id, detail=reply.detail
+                    'Failed to fetch engine report.',
+                    engine=engine.id,
+                    detail=reply.detail,
                 )
                 continue
             report = engines.report(reply[1])
             if isinstance(report, errors.Failure):
                 _log.warning(
-                    'Bad report.', engine=engine.id, detail=report.detail
+                    'Invalid engine report.',
+                    engine=engine.id,
+                    detail=report.detail,
                 )
                 continue
-            self._take(dispatcher, engine.id, report)
+            self._apply(dispatcher, engine.id, report)
 
-    def _take(
+    def _apply(
         self,
         dispatcher: dispatch.Dispatcher,
         engine: ids.UpstreamId,
         report: engines.Report,
     ) -> None:
-        """Take the report of an engine, of its present start alone."""
-        told = (incarnations.UNKNOWN, incarnations.born(engine))
-        if report.born not in told:
-            later = self._directory.restarted(
+        """Apply a report if it is from the engine's current incarnation."""
+        accepted = (incarnations.UNKNOWN, incarnations.born(engine))
+        if report.born not in accepted:
+            successor = self._directory.restarted(
                 engine, report.born, report.stage
             )
-            if later is None:
+            if successor is None:
                 return
-            engine = later.id
+            engine = successor.id
         dispatcher.engines.observe(
             engine, report.kv_used, report.stage, report.busy, clock.now()
         )
--- a/galenahatch/test/test_gatewayctl.py
+++ b/galenahatch/test/test_gatewayctl.py
@@ -176,7 +176,7 @@
     assert row['held_back'] >= 1
     assert row['gateways'] == 1
     log = fleet.vms[0].log.read_text()
-    assert log.count('Rate limit named.') == 1
+    assert log.count('Rate limit set.') == 1
 
 
 def _version(fleet: fleets.Fleet, capsys: pytest.CaptureFixture[str]) -> int:
