--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -140,7 +140,9 @@
                 job.deadline - now,
             ),
         )
-        queue_wait = max(queue_wait, self._pool.seconds_to_next_trial(now), limit_wait)
+        queue_wait = max(
+            queue_wait, self._pool.seconds_to_next_trial(now), limit_wait
+        )
         wait = self._returns.schedule(
             job.fingerprint,
             self._forecast.spare_rate(now),
