--- a/galenahatch/claims.py
+++ b/galenahatch/claims.py
@@ -24,7 +24,7 @@
 import dataclasses
 import typing
 
-from galenahatch.core import claimwrites
+from galenahatch.core import claimoperations
 from galenahatch.core import transaction
 from galenahatch import errors
 from galenahatch import ids
@@ -45,7 +45,7 @@
 class Order:
     """One operation on a key, and how to answer it."""
 
-    operation: claimwrites.Operation
+    operation: claimoperations.Operation
     send: Send
 
 
@@ -70,7 +70,7 @@
         """Operations that are not answered yet."""
         return self._open
 
-    def tell(self, operation: claimwrites.Operation, send: Send) -> None:
+    def tell(self, operation: claimoperations.Operation, send: Send) -> None:
         """Put an operation into the inbox."""
         self._open += 1
         self._inbox.put_nowait(Order(operation, send))
@@ -107,7 +107,7 @@
         for _ in range(_TRIES):
             if not pending:
                 return
-            change = claimwrites.build_transaction(
+            change = claimoperations.build_transaction(
                 [order.operation for order in pending.values()]
             )
             metrics.claim_groups.add(1)
@@ -120,7 +120,7 @@
             else:
                 for order in pending.values():
                     self._answer(
-                        order, claimwrites.committed_reply(order.operation)
+                        order, claimoperations.committed_reply(order.operation)
                     )
                 return
         await self._read_back(pending)
@@ -131,25 +131,26 @@
         current: collections.abc.Mapping[str, bytes | None],
     ) -> None:
         for name, value in current.items():
-            order = pending.pop(claimwrites.claim_key_from(name), None)
+            order = pending.pop(claimoperations.claim_key_from(name), None)
             if order is not None:
                 self._answer(
-                    order, claimwrites.conflict_reply(order.operation, value)
+                    order,
+                    claimoperations.conflict_reply(order.operation, value),
                 )
 
     async def _read_back(self, pending: dict[ids.ClaimKey, Order]) -> None:
         """Answer from what the table holds, if it can be read."""
-        names = [claimwrites.table_key(key) for key in pending]
+        names = [claimoperations.table_key(key) for key in pending]
         values = await self._table.read(names)
         for key, order in pending.items():
             if isinstance(values, errors.Failure):
                 self._answer(
-                    order, claimwrites.unconfirmed_reply(order.operation)
+                    order, claimoperations.unconfirmed_reply(order.operation)
                 )
                 continue
-            value = values.get(claimwrites.table_key(key))
+            value = values.get(claimoperations.table_key(key))
             self._answer(
-                order, claimwrites.readback_reply(order.operation, value)
+                order, claimoperations.readback_reply(order.operation, value)
             )
 
     def _answer(self, order: Order, reply: messages.AnyMessage) -> None:
--- a/galenahatch/core/cell.py
+++ b/galenahatch/core/cell.py
@@ -32,9 +32,9 @@
 from galenahatch.core import jobs
 from galenahatch.core import pairing
 from galenahatch.core import pools
-from galenahatch.core import promises
 from galenahatch.core import reservations
-from galenahatch.core import waits
+from galenahatch.core import tickets
+from galenahatch.core import waitestimates
 from galenahatch import errors
 from galenahatch import ids
 from galenahatch import messages
@@ -65,15 +65,15 @@
         self._service = service
         self._random = random_source
         self._pools = pools.Pools()
-        self._waits = waits.WaitEstimator(self._pools)
+        self._estimator = waitestimates.WaitEstimator(self._pools)
         self._headroom = headroom.Headroom()
-        self._tickets = promises.Tickets()
+        self._tickets = tickets.Tickets()
         self._prefix_index = cache.PrefixIndex(CACHE_MAX_AGE_S)
         self._site_engines: dict[ids.SiteName, frozenset[ids.EngineName]] = {}
         self._queue: fairness.FairQueue[jobs.Job] = fairness.FairQueue()
         self._start_deadlines: list[tuple[float, ids.StreamId]] = []
         self._reservations = reservations.Reservations(
-            self._pools, self._waits
+            self._pools, self._estimator
         )
         self._recheck_at = 0.0
 
@@ -229,7 +229,7 @@
         if progress.stage is states.Stage.DECODE:
             decode = self._pools.decode(reservation.decode)
             if decode is not None:
-                estimate = self._waits.estimate_hold(
+                estimate = self._estimator.estimate_hold(
                     decode, reservation.output_tokens, now
                 )
                 decode.reschedule(progress.stream, estimate)
@@ -266,8 +266,8 @@
         self, request: messages.PlaceRequest, share: float, now: float
     ) -> jobs.Job:
         tokens = request.prompt_tokens
-        cost = self._waits.prefill_cost(tokens)
-        first_token_delay = self._waits.min_first_token_delay(tokens)
+        cost = self._estimator.prefill_cost(tokens)
+        first_token_delay = self._estimator.min_first_token_delay(tokens)
         start_by = now + request.patience - cost - first_token_delay
         has_ticket = self._tickets.redeem(request.ticket, now)
         if has_ticket:
@@ -299,7 +299,7 @@
         return self._wait_behind(job, ahead + owed, now) if owed else wait
 
     def _wait_behind(self, job: jobs.Job, ahead: float, now: float) -> float:
-        return self._waits.expected_prefill_wait(
+        return self._estimator.expected_prefill_wait(
             job.cost,
             ahead,
             len(self._queue) + len(self._tickets),
@@ -350,7 +350,7 @@
         ticket_wait = self._tickets.issue(
             ticket,
             wait,
-            self._waits.admission_rate(),
+            self._estimator.admission_rate(),
             job.cost,
             job.urgency,
             now,
@@ -418,7 +418,7 @@
         if message.seconds_per_token > 0:
             self._record_interval(decode, message.seconds_per_token)
         held = now - reservation.placed_at
-        self._waits.record_completion(
+        self._estimator.record_completion(
             message.tokens, reservation.output_tokens, held
         )
 
--- a/galenahatch/core/reservations.py
+++ b/galenahatch/core/reservations.py
@@ -22,7 +22,7 @@
 
 from galenahatch.core import pairing
 from galenahatch.core import pools
-from galenahatch.core import waits
+from galenahatch.core import waitestimates
 from galenahatch import ids
 from galenahatch import messages
 from galenahatch import states
@@ -57,7 +57,7 @@
     """
 
     def __init__(
-        self, engine_pools: pools.Pools, estimator: waits.WaitEstimator
+        self, engine_pools: pools.Pools, estimator: waitestimates.WaitEstimator
     ) -> None:
         self._pools = engine_pools
         self._estimator = estimator
--- a/galenahatch/core/versions.py
+++ b/galenahatch/core/versions.py
@@ -12,7 +12,7 @@
 
 """Versions of the store that increase monotonically across restores.
 
-The store numbers its transactions. A restore from a backup resets the counter,
+The store numbers its transactions. Restoring a backup moves the counter back,
 so that numbers are reused. Each restore increments the era, so the pair of era
 and number only increases.
 """
--- a/galenahatch/test/test_fuzz_claims.py
+++ b/galenahatch/test/test_fuzz_claims.py
@@ -24,7 +24,7 @@
 from hypothesis import strategies
 
 from galenahatch.core import claim
-from galenahatch.core import claimwrites
+from galenahatch.core import claimoperations
 from galenahatch.core import transaction
 from galenahatch import ids
 from galenahatch import messages
@@ -48,7 +48,7 @@
 
     entry: str
     incarnation: int
-    operation: claimwrites.Operation
+    operation: claimoperations.Operation
     reply: messages.AnyMessage | None = None
 
 
@@ -120,24 +120,28 @@
         if not again:
             del self.operations[number]
         operation = sent.operation
-        change = claimwrites.build_transaction([operation])
-        name = claimwrites.table_key(operation.key)
+        change = claimoperations.build_transaction([operation])
+        name = claimoperations.table_key(operation.key)
         if fate == 'done':
             conflict = self._apply(change)
             if conflict:
-                reply = claimwrites.conflict_reply(operation, conflict[name])
+                reply = claimoperations.conflict_reply(
+                    operation, conflict[name]
+                )
             else:
-                reply = claimwrites.committed_reply(operation)
+                reply = claimoperations.committed_reply(operation)
         elif fate in ('answer lost', 'late'):
             if fate == 'late':
                 self.late.append(change)
             else:
                 self._apply(change)
-            reply = claimwrites.readback_reply(operation, self.table.get(name))
+            reply = claimoperations.readback_reply(
+                operation, self.table.get(name)
+            )
         else:
             if fate == 'unread':
                 self._apply(change)
-            reply = claimwrites.unconfirmed_reply(operation)
+            reply = claimoperations.unconfirmed_reply(operation)
         self._check_vouched(reply)
         self.replies.append(
             _Sent(sent.entry, sent.incarnation, operation, reply)
@@ -200,7 +204,7 @@
         self.told_not_run.add(token)
         request = self.claims[token]
         void = messages.ClaimVoid(
-            request.key, token, claimwrites.encode_new_claim(request)
+            request.key, token, claimoperations.encode_new_claim(request)
         )
         self.operations.append(_Sent(name, entry.incarnation, void))
 
@@ -235,7 +239,7 @@
         answer = claim.Answer(200, 'answered', 'text/plain', token.encode())
         self.answers[key] = answer
         entry.holdings.finish(token, answer)
-        before = claimwrites.encode_new_claim(request)
+        before = claimoperations.encode_new_claim(request)
         record = claim.decode(before)
         assert isinstance(record, claim.Record)
         after = claim.encode(claim.finished_record(record, answer, ''))
