--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The gateway: one process on each VM, one loop.
+"""The gateway service: one process with one event loop on each VM.
 
-Entry, decisions and membership are parts of one program here, each with its
-own tasks and state. On small VMs a second process would cost its memory and
-a hop for each request, and would have to be kept alive as well.
+Request handling, placement and membership are components of one program, each
+with its own tasks and state. On small VMs, a second process would cost memory
+and an extra hop for each request, and would also need supervision.
 """
 
 import asyncio
@@ -54,30 +54,33 @@
 from galenahatch import tasks
 
 METRICS_PORT: typing.Final = 9464
-"""Where metrics are served; the deploy file names the same port."""
+"""Port of the metrics; the deployment file names the same port."""
 _BALANCER_DRAIN_S: typing.Final = 2.6
-"""Seconds for which a stopping gateway takes new callers and streams: the
-balancer asks once a second and looks away after two answers."""
+"""Seconds for which a stopping gateway accepts new callers and streams. The
+load balancer checks once a second and stops using a gateway after two negative
+answers."""
 _EXIT_MARGIN_S: typing.Final = 0.4
-"""Seconds before the end of the grace at which the process ends by itself."""
+"""Seconds before the end of the grace period at which the process exits."""
 _NO_NEW_CALLERS_S: typing.Final = 1.0
-"""Seconds before that end from which on no callers are taken: those that are
-there are answered, or refused since they would take too long."""
+"""Seconds before this exit at which new callers are no longer accepted. Open
+requests are answered, or refused if they would take too long."""
 _ABORT_TIMEOUT_S: typing.Final = 0.05
-"""Seconds that requests still in flight at the end get to notice it."""
+"""Seconds for requests still in flight at the end to handle their abort."""
 _IDLE_CHECK_INTERVAL_S: typing.Final = 0.05
+"""Seconds between two checks whether the gateway may exit."""
 _MAX_COUNTED_CHECK_S: typing.Final = 2 * _IDLE_CHECK_INTERVAL_S
-"""Seconds of one such check that count as time in which this process ran."""
+"""Most seconds of one check interval that count as run time of the process."""
 _REFRESH_INTERVAL_S: typing.Final = 1.0
+"""Seconds between two updates of the members and known upstreams."""
 _log = logs.Log('gateway')
 
 
 class Gateway(aiomisc.Service):
-    """The application object.
+    """The gateway as a service.
 
     Args:
-        settings: of this process.
-        settings_path: file that they came from.
+        settings: settings of this process.
+        settings_path: path of the settings file.
     """
 
     def __init__(
@@ -90,7 +93,7 @@
         self._is_stopping = False
 
     async def start(self) -> None:
-        """Open all parts and listen."""
+        """Create all components and start to listen."""
         self._open()
         await self._listen()
         self._start_tasks()
@@ -140,7 +143,7 @@
         self._open_mesh()
 
     def _open_mesh(self) -> None:
-        """Open what talks with other gateways."""
+        """Create the components that communicate with other gateways."""
         settings = self._settings
         self._guard = quarantine.Guard(
             self._sender, self._store, roster.MEMBER_TABLE
@@ -176,7 +179,7 @@
     def _handle_message(
         self, member: ids.MemberId, message: frames.AnyMessage
     ) -> None:
-        """Take a message of another gateway."""
+        """Dispatch a message of another gateway."""
         if isinstance(
             message, messages.StageChangeRequest | messages.StageChangeReply
         ):
@@ -194,18 +197,22 @@
         sent_at: float,
         head: calls.AnswerHead,
     ) -> None:
-        """Take what an upstream's answer says of the next requests."""
+        """Record what an upstream's answer says about further requests."""
         self._rate_limits.answered(upstream, sent_at, head)
         self._notices.record_answer(upstream, sent_at, head)
 
     def _cancel_waits(self, upstream: ids.UpstreamId) -> None:
-        """Give up what is under way at the start before."""
-        ended = self._sender.waits.started(upstream)
-        if ended:
-            _log.info('Waits ended.', upstream=upstream, waits=ended)
+        """Cancel calls that wait for the previous process of an upstream."""
+        count = self._sender.waits.started(upstream)
+        if count:
+            _log.info(
+                'Canceled calls to a restarted upstream.',
+                upstream=upstream,
+                waits=count,
+            )
 
     def _start_tasks(self) -> None:
-        """Start the tasks that go on until the end."""
+        """Start the background tasks."""
         self._directory.run()
         self._mesh.run()
         self._ownership.run(self._mesh, self._background_tasks)
@@ -240,16 +247,18 @@
         self._callers = connections.Server(self._front.handle, limits)
         probes = connections.Server(self._front.ready, limits)
         metrics = connections.Server(self._front.metrics, limits)
-        scrapes = settings_module.Address(settings.address, METRICS_PORT)
-        for server, where in (
+        metrics_address = settings_module.Address(
+            settings.address, METRICS_PORT
+        )
+        for server, address in (
             (self._callers, settings.front),
             (probes, settings.readiness),
-            (metrics, scrapes),
+            (metrics, metrics_address),
         ):
-            await server.listen(where)
+            await server.listen(address)
 
     async def _refresh(self) -> None:
-        """Note how many gateways there are, and which upstreams are gone."""
+        """Update the number of members and discard removed upstreams."""
         while True:
             self._budget.set_members(self._mesh.size)
             self._grants.set_members(self._mesh.size)
@@ -261,48 +270,48 @@
             await asyncio.sleep(_REFRESH_INTERVAL_S)
 
     def reload(self) -> None:
-        """Look at the settings file again."""
-        found = deployment.load(self._path)
-        if isinstance(found, errors.Failure):
-            _log.error('Settings kept.', detail=found.detail)
+        """Read the settings file again and log whether it has changed."""
+        settings = deployment.load(self._path)
+        if isinstance(settings, errors.Failure):
+            _log.error('Settings kept.', detail=settings.detail)
             return
-        changed = found != self._settings
+        changed = settings != self._settings
         _log.info('Settings read again.', changed=changed)
 
     def begin_shutdown(self) -> None:
-        """Begin to stop; once is enough."""
+        """Begin to stop, unless that has already begun."""
         if self._is_stopping:
-            _log.info('Stopping already.')
+            _log.info('Shutdown is already in progress.')
             return
         self._is_stopping = True
         asyncio.get_running_loop().stop()
 
-    async def _wait_for_balancer(self, last: float) -> None:
-        """Go on taking callers until they have gone elsewhere.
+    async def _wait_for_balancer(self, exit_at: float) -> None:
+        """Accept callers until the load balancer has stopped sending them.
 
-        Time in which this process did not run does not count: the balancer
-        could not hear that it is not ready. Streams are refused from the time
-        by the clock on, since their callers are told where to turn.
+        Time in which this process did not run doesn't count, since the
+        balancer's readiness checks were not answered. Streams are refused
+        from a fixed time on, since their callers are told where to turn.
         """
-        left = _BALANCER_DRAIN_S
-        while left > 0 and clock.now() < last - _NO_NEW_CALLERS_S:
-            before = clock.now()
+        remaining = _BALANCER_DRAIN_S
+        while remaining > 0 and clock.now() < exit_at - _NO_NEW_CALLERS_S:
+            checked_at = clock.now()
             await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
-            left -= min(clock.now() - before, _MAX_COUNTED_CHECK_S)
+            remaining -= min(clock.now() - checked_at, _MAX_COUNTED_CHECK_S)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Finish what is in flight, then close."""
-        began = clock.now()
-        last = began + self._settings.bounds.grace - _EXIT_MARGIN_S
-        self._front.leave(began + _BALANCER_DRAIN_S, last)
+        """Finish requests in flight, then close."""
+        began_at = clock.now()
+        exit_at = began_at + self._settings.bounds.grace - _EXIT_MARGIN_S
+        self._front.leave(began_at + _BALANCER_DRAIN_S, exit_at)
         self._mesh.leaving = True
         self._ownership.owner.decline_all()
         _log.info('Stopping.', in_flight=self._front.in_flight)
-        await self._wait_for_balancer(last)
-        while clock.now() < last:
-            is_late = clock.now() > last - _NO_NEW_CALLERS_S
+        await self._wait_for_balancer(exit_at)
+        while clock.now() < exit_at:
+            refuse_new = clock.now() > exit_at - _NO_NEW_CALLERS_S
             if (
-                await self._callers.drain(is_late)
+                await self._callers.drain(refuse_new)
                 and not self._front.in_flight
             ):
                 break
@@ -312,7 +321,7 @@
             'Stopped.',
             in_flight=self._front.in_flight,
             connections=len(self._callers.connections),
-            seconds=clock.now() - began,
+            seconds=clock.now() - began_at,
         )
         await self._callers.shutdown(_ABORT_TIMEOUT_S)
         await self._background_tasks.stop()
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -142,7 +142,7 @@
         now = clock.now()
         candidates = self.members.ordered()[:OWNER_CANDIDATES]
         if (
-            self._own_id in first
+            self._own_id in candidates
             or len(self.members.known) <= _SMALL_DEPLOYMENT
         ):
             return False
