--- a/galenahatch/gateway/messages.py
+++ b/galenahatch/gateway/messages.py
@@ -131,7 +131,7 @@
 
 
 class HeartbeatReply(Message, frozen=True, array_like=True, tag='BeatBack'):
-    """Reply to a heartbeat, with fields as there except for:
+    """Reply to a heartbeat; other fields have the same meaning there.
 
     Attributes:
         member_count: number of gateways that the sender knows.
