--- a/galenahatch/gateway/frontend.py
+++ b/galenahatch/gateway/frontend.py
@@ -58,10 +58,10 @@
     """Writes a streamed response to a caller's connection."""
 
     def __init__(
-        self, request: web.BaseRequest, front: 'HttpFrontend'
+        self, request: web.BaseRequest, frontend: 'HttpFrontend'
     ) -> None:
         self._request = request
-        self._front = front
+        self._frontend = frontend
         self._response: web.StreamResponse | None = None
 
     @property
@@ -77,7 +77,7 @@
     async def begin(self, head: calls.ResponseHead) -> None:
         """Send the response head."""
         response = web.StreamResponse(status=head.status, headers=head.headers)
-        self._front.close_if_draining(response)
+        self._frontend.close_if_draining(response)
         self._response = response
         await response.prepare(self._request)
 
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -359,11 +359,11 @@
                 if means_module.over(self._deadline):
                     raise StreamBroken('deadline')
                 self._log_failure('Stream interrupted.', engine, data)
-                return self._broken(engine, data.detail, data.is_disconnect)
+                return self._on_broken(engine, data.detail, data.is_disconnect)
             if not data:
                 if self._relay.has_partial_event:
                     detail = 'ended in the middle of an event'
-                    return self._broken(engine, detail, is_disconnect=True)
+                    return self._on_broken(engine, detail, is_disconnect=True)
                 return None
             events = self._relay.feed(data)
             if not events:
@@ -374,7 +374,7 @@
                 self._means.ownership.report_started(stream)
             await self._relay.forward(response.head, events)
 
-    def _broken(
+    def _on_broken(
         self, engine: upstreams.Upstream, detail: str, is_disconnect: bool
     ) -> prefill.Retry:
         relay = self._relay
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -169,8 +169,8 @@
         self, member: ids.MemberId, place: messages.Place, now: float
     ) -> None:
 
-        def reply(word: OwnerReply) -> None:
-            self._deliver(member, word)
+        def reply(message: OwnerReply) -> None:
+            self._deliver(member, message)
 
         dispatcher = self._dispatcher(place.service)
         if dispatcher is None:
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -272,7 +272,7 @@
         if response is None:
             return None
         if response.head.status < 300:
-            # An error response doesn't prove that the request was executed.
+            # An upstream may return an error without executing the request.
             self._means.guard.served(self._call)
         if response.head.status in _NOT_EXECUTED_STATUSES:
             # The request was executed, but this status denies it.
