--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -10,21 +10,21 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The owner's decisions: which engines a generation runs on, and when.
+"""Decides which engines a generation runs on, and when.
 
 One owner decides for all VMs, so that the memory of each decode engine is
-counted once. A request is placed when its decode engine has room for its
-whole predicted life and its prefill engine is about to be idle; until then
-it waits here, where order and refusal stay possible.
-
-A request that can't start in time waits for what those leave that can, if it
-will be served before its caller leaves, and is refused at once otherwise,
-with the time at which there is room. One that may still start in time is
-decided on a moment later, while a refusal costs its caller nothing yet. What
-is kept is served before all that came after it (`core/waitqueue`). Time counts
-from a caller's first attempt: who comes back has waited already.
-
-Times are monotonic seconds, passed in; there is no input or output here.
+counted once. A request is placed when its decode engine has room for its whole
+predicted life and its prefill engine is about to be idle; until then it waits
+here, where it can still be reordered or refused.
+
+A request that can't start in time waits for spare capacity if it will be
+served before its caller gives up, and is refused at once otherwise, with a
+time at which there is room. One that may still start in time is decided on a
+moment later, while a refusal costs its caller nothing yet. Committed requests
+are served before all that arrived later (`core/waitqueue`). Times count from a
+caller's first attempt: a retry has waited already.
+
+Times are monotonic seconds, passed in; this module does no I/O.
 """
 
 import dataclasses
@@ -48,24 +48,21 @@
 from galenahatch import ids
 
 PREFILL_LOOKAHEAD_S: typing.Final = 0.02
-"""Seconds of work that a prefill engine may have ahead; the rest waits in
-the queue, where it can still be reordered."""
-_RECHECK: typing.Final = 0.02
-_ON_ITS_WAY: typing.Final = 1.0
-"""Seconds for which a placed run need not stand in its VM's list: four
-beats."""
+"""Seconds of work ahead at a prefill engine; the rest can be reordered."""
+_RECHECK_INTERVAL_S: typing.Final = 0.02
+_RECONCILE_GRACE_S: typing.Final = 1.0
+"""Seconds that a placed run may be missing in its VM's list: 4 heartbeats."""
 
 Job = generations.Job
 
 
 class Dispatcher:
-    """Engines of one service, and requests that wait for them.
+    """Engines of one service, and the requests that wait for them.
 
     Args:
-        capacity: tokens of KV cache of each engine.
-        slots: runs at once of each engine.
-        limiter: of engines that name the rate of requests that they take;
-            one of its own if not said.
+        capacity: Tokens of KV cache of each engine.
+        slots: Largest batch size of each engine.
+        limiter: Rate limiter of the engines; a new one by default.
     """
 
     def __init__(
@@ -78,54 +75,54 @@
             limiter = ratelimits.Limiter(random.Random())
         self._limiter = limiter
         self._pool = pool.Pool(capacity, slots, limiter)
-        self._measures = figures.Estimator()
-        self._returns = retryafter.RetrySchedule()
-        self._queue = waitqueue.WaitQueue(self._measures)
+        self._estimator = figures.Estimator()
+        self._retries = retryafter.RetrySchedule()
+        self._queue = waitqueue.WaitQueue(self._estimator)
         self._forecast = forecast.Forecast(
-            self._pool, self._measures, self._queue
+            self._pool, self._estimator, self._queue
         )
-        self._division = divisions.Rebalancer(
-            self._pool, self._measures, self._forecast
+        self._rebalancer = divisions.Rebalancer(
+            self._pool, self._estimator, self._forecast
         )
         self._admission = admission.Admission(
             self._pool,
             self._queue,
             self._forecast,
-            self._returns,
-            self._division,
+            self._retries,
+            self._rebalancer,
             limiter,
         )
         self._placements: dict[ids.StreamId, placements.Placement] = {}
 
     @property
     def waiting_count(self) -> int:
-        """Requests in the queue."""
+        """Number of requests in the queue."""
         return len(self._queue)
 
     @property
     def running_count(self) -> int:
-        """Runs placed and not ended."""
+        """Number of runs that were placed and have not ended."""
         return len(self._placements)
 
     @property
     def engines(self) -> pool.Pool:
-        """The engines."""
+        """Engines of the service."""
         return self._pool
 
     @property
     def rebalancer(self) -> divisions.Rebalancer:
-        """How many engines should be at each stage."""
-        return self._division
+        """Planner of the engines' stages."""
+        return self._rebalancer
 
     @property
     def measured_figures(self) -> figures.Figures:
-        """What was measured so far."""
-        self._measures.record_pace(
-            self._pool.mean_pace(self._measures.figures.pace)
+        """Measurements so far."""
+        self._estimator.record_pace(
+            self._pool.mean_pace(self._estimator.figures.pace)
         )
-        return self._measures.figures
+        return self._estimator.figures
 
-    # News of engines.
+    # Changes of engines.
 
     def set_engines(
         self,
@@ -133,82 +130,82 @@
         leaving: typing.Container[ids.UpstreamId],
         now: float,
     ) -> None:
-        """Take the engines that take work.
+        """Set the engines that accept work.
 
         Args:
-            engines: of the service.
-            leaving: engines that have said that they leave.
-            now: monotonic seconds.
+            engines: Engines of the service.
+            leaving: Engines that announced that they leave.
+            now: Monotonic time in seconds.
         """
         present = list(engines)
-        self._division.set_engines((e.id for e in present), leaving, now)
-        self._pool.set_engines(present, self._measures.figures.pace, now)
+        self._rebalancer.set_engines((e.id for e in present), leaving, now)
+        self._pool.set_engines(present, self._estimator.figures.pace, now)
 
-    def adopt_figures(self, told: figures.Figures) -> None:
-        """Take what another owner has measured, if it has seen more."""
-        if not self._measures.adopt(told):
+    def adopt_figures(self, reported: figures.Figures) -> None:
+        """Adopt another owner's measurements if they cover more requests."""
+        if not self._estimator.adopt(reported):
             return
         for engine in self._pool.decodes.values():
             if not engine.memory.runs:
-                engine.memory.pace = told.pace
+                engine.memory.pace = reported.pace
 
     def plan_stage_changes(
         self, now: float
     ) -> list[tuple[upstreams.Upstream, upstreams.Stage]]:
         """Return the engines whose stage should change."""
-        return self._division.plan_stage_changes(bool(self._queue), now)
+        return self._rebalancer.plan_stage_changes(bool(self._queue), now)
 
     # The life of a request.
 
     def submit(self, job: Job, now: float) -> generations.Decision | None:
-        """Take a request; return a decision if it is refused at once."""
-        first_at = self._returns.record_arrival(job.fingerprint)
-        returned = first_at is not None
-        output = self._measures.lengths.predict(
+        """Queue a request; return a decision if it is refused at once."""
+        first_at = self._retries.record_arrival(job.fingerprint)
+        is_retry = first_at is not None
+        output = self._estimator.lengths.predict(
             job.output_hint, job.max_output
         )
         job = dataclasses.replace(
-            job, predicted_output=output, is_retry=returned
+            job, predicted_output=output, is_retry=is_retry
         )
         if first_at is not None:
             job = dataclasses.replace(
                 job,
                 start_deadline=job.start_deadline - job.arrived_at + first_at,
             )
-        self._measures.record_size(job.prompt_tokens, job.predicted_output)
-        if not returned:
-            self._measures.record_arrival(now)
-        self._forget(job.stream, now)
+        self._estimator.record_size(job.prompt_tokens, job.predicted_output)
+        if not is_retry:
+            self._estimator.record_arrival(now)
+        self._remove_run(job.stream, now)
         if not self._pool.decodes:
             return self._admission.refuse(job, 'no_engine', now)
         if not job.is_continuation:
             if self._admission.is_limited(job, now):
                 return self._admission.refuse(job, 'engines_hold_back', now)
-            owed = 1 + self._returns.due_count(now)
-            wait = self._forecast.predict_wait(job, owed, now)
+            reserved = 1 + self._retries.due_count(now)
+            wait = self._forecast.predict_wait(job, reserved, now)
             if now + wait > waitqueue.first_event_limit(job):
                 return self._admission.keep_late(job, wait, now)
         self._queue.add(job)
         return None
 
     def withdraw(self, stream: ids.StreamId) -> Job | None:
-        """Remove and return a request that waits: its caller is gone."""
+        """Remove and return a waiting request whose caller is gone."""
         return self._queue.remove(stream)
 
     def decide(self, now: float) -> list[generations.Decision]:
-        """Place what can be placed now; give up what can't end in time."""
+        """Place the requests that fit now; refuse those that are too late."""
         decisions: list[generations.Decision] = []
-        lacks = 0
+        blocked = 0
         for job in self._queue.in_order(now):
             decision: generations.Decision | None = None
             if self._queue.cannot_finish(job, now):
                 decision = self._admission.refuse(job, 'no_time_left', now)
-            elif lacks < forecast.MAX_JOBS_CHECKED:
-                found = self._place(job, now)
-                if isinstance(found, generations.Placed):
-                    decision = found
+            elif blocked < forecast.MAX_JOBS_CHECKED:
+                result = self._place(job, now)
+                if isinstance(result, generations.Placed):
+                    decision = result
                 else:
-                    lacks += self._lacks(found, job, now)
+                    blocked += self._blocked_jobs(result, job, now)
             is_due = waitqueue.needs_decision(
                 job, now
             ) or waitqueue.has_missed_start(job, now)
@@ -219,77 +216,79 @@
                 decisions.append(decision)
         return decisions
 
-    def _lacks(self, lack: generations.Lack, job: Job, now: float) -> int:
-        """Return how many of those behind need not be looked at."""
+    def _blocked_jobs(
+        self, lack: generations.Lack, job: Job, now: float
+    ) -> int:
+        """Return how many of the requests behind need not be tried."""
         if lack is generations.Lack.MEMORY:
             return forecast.MAX_JOBS_CHECKED
         if lack is generations.Lack.PREFILL and waitqueue.is_wait_noticeable(
             job, now
         ):
-            self._division.record_prefill_wait(now)
+            self._rebalancer.record_prefill_wait(now)
         return 1
 
     def next_decision_at(self, now: float) -> float | None:
-        """Return when `decide` should be called again; None if idle."""
-        return now + _RECHECK if len(self._queue) else None
+        """Return when to call `decide` again; None if idle."""
+        return now + _RECHECK_INTERVAL_S if len(self._queue) else None
 
     def record_prefill(
         self, stream: ids.StreamId, tokens: int, seconds: float, now: float
     ) -> None:
-        """Note that a prompt was read, and how long it took."""
-        self._told(stream, now)
+        """Record that a prompt was read, and how long it took."""
+        self._confirm(stream, now)
         placement = self._placements.get(stream)
         if placement is None or placement.prefill is None:
             return
         if placement.had_idle_prefill:
-            self._measures.record_prefill(tokens, seconds)
+            self._estimator.record_prefill(tokens, seconds)
         placement.prefilled_at = now
         self._pool.record_result(placement.prefill, stream, seconds, now)
         alone = self._pool.record_overlap(
             placement.prefill,
             placement.placed_at,
             tokens,
-            self._measures.prefill_line,
-            self._measures.figures.alone,
+            self._estimator.prefill_line,
+            self._estimator.figures.alone,
             now,
         )
         if alone is not None:
-            self._measures.record_overlap(alone)
+            self._estimator.record_overlap(alone)
 
     def record_first_event(self, stream: ids.StreamId, now: float) -> None:
-        """Note the first event of a stream."""
-        self._told(stream, now)
+        """Record the first event of a stream."""
+        self._confirm(stream, now)
         placement = self._placements.get(stream)
         if placement is not None:
             placement.started_at = now
             if placement.prefilled_at is not None:
-                self._measures.record_start(now - placement.prefilled_at)
+                self._estimator.record_start(now - placement.prefilled_at)
             self._pool.record_first_event(placement.engine)
             self._pool.record_first_event(placement.prefill)
-        run = self._run(stream)
+        run = self._find_run(stream)
         if run is not None:
             run.starts_at = now
 
     def release(
         self, stream: ids.StreamId, tokens: int, seconds: float, now: float
     ) -> None:
-        """Note the end of a run.
+        """Record the end of a run.
 
         Args:
-            stream: that ended.
-            tokens: of the answer; 0 if it broke off.
-            seconds: that they took.
-            now: monotonic seconds.
+            stream: Stream that ended.
+            tokens: Tokens of the answer; 0 if it broke off.
+            seconds: Seconds that they took.
+            now: Monotonic time in seconds.
         """
         placement = self._placements.get(stream)
         if placement is not None and tokens:
-            self._measures.lengths.add_sample(placement.output_hint, tokens)
-            self._pool.set_spread(self._measures.lengths.spread)
+            self._estimator.lengths.add_sample(placement.output_hint, tokens)
+            self._pool.set_spread(self._estimator.lengths.spread)
             decode = self._pool.decodes.get(placement.engine)
             if decode is not None:
                 decode.health.record_success()
                 decode.memory.record_end(stream, tokens, seconds, now)
-        self._forget(stream, now)
+        self._remove_run(stream, now)
         self._queue.remove(stream)
 
     def reconcile_runs(
@@ -298,13 +297,13 @@
         held: typing.Iterable[tuple[ids.UpstreamId, memory.Run]],
         now: float,
     ) -> None:
-        """Take a VM's complete list of its runs: add, confirm and drop."""
-        current = set()
+        """Add, confirm and remove runs by a VM's complete list of them."""
+        reported = set()
         for engine, run in held:
-            current.add(run.stream)
+            reported.add(run.stream)
             decode = self._pool.decodes.get(engine)
             if decode is not None and run.stream not in decode.memory.runs:
-                self._forget(run.stream, now)
+                self._remove_run(run.stream, now)
                 decode.memory.add(run)
                 self._placements[run.stream] = placements.Placement(
                     engine, 0, now
@@ -313,19 +312,23 @@
                 decode.memory.record_progress(
                     run.stream, run.generated, run.generated_at
                 )
-            self._told(run.stream, now)
+            self._confirm(run.stream, now)
         for stream, placement in list(self._placements.items()):
-            known = self._run(stream)
-            if known is None or known.entry != entry or stream in current:
+            existing = self._find_run(stream)
+            if (
+                existing is None
+                or existing.entry != entry
+                or stream in reported
+            ):
                 continue
-            # Younger than the list may be: it was on its way to the VM.
-            if now - placement.confirmed_at > _ON_ITS_WAY:
-                self._forget(stream, now)
+            # The list may be older than the placement.
+            if now - placement.confirmed_at > _RECONCILE_GRACE_S:
+                self._remove_run(stream, now)
 
     def expire_runs(self, now: float) -> None:
-        """Forget runs whose VM has been silent for long."""
+        """Remove runs whose VM has not reported them for too long."""
         for stream in placements.expired(self._placements, now):
-            self._forget(stream, now)
+            self._remove_run(stream, now)
 
     # Placement.
 
@@ -334,22 +337,26 @@
     ) -> generations.Placed | generations.Lack:
         engines = self._pool.decodes, self._pool.prefills
         runs = self._placements.values()
-        apart = placements.separate_suspects(job, runs, *engines, now)
-        if apart is None:
+        separated = placements.separate_suspects(job, runs, *engines, now)
+        if separated is None:
             return generations.Lack.TRIAL
-        job, prefill = apart, None
+        job, prefill = separated, None
         if not job.is_prefilled:
-            explore = not self._measures.has_overlap_estimate
-            reads = self._measures.prefill_seconds(job.prompt_tokens)
-            prefill = self._pool.choose_prefill(job, reads, explore, now)
+            explore = not self._estimator.has_overlap_estimate
+            prefill_seconds = self._estimator.prefill_seconds(
+                job.prompt_tokens
+            )
+            prefill = self._pool.choose_prefill(
+                job, prefill_seconds, explore, now
+            )
         if prefill is not None and prefill.idle_at > now + PREFILL_LOOKAHEAD_S:
             if not self._forecast.may_prefill_at_decode(job, now):
                 return generations.Lack.PREFILL
             prefill = None
-        ready = now + self._measures.seconds_to_first_event(job)
+        ready_at = now + self._estimator.seconds_to_first_event(job)
         if prefill is None and not job.is_prefilled:
-            ready += decodeprefill.prefill_seconds(job, self._measures)
-        decode = self._pool.choose_decode(job, prefill, ready, now)
+            ready_at += decodeprefill.prefill_seconds(job, self._estimator)
+        decode = self._pool.choose_decode(job, prefill, ready_at, now)
         if decode is None:
             if prefill is None and not job.is_prefilled:
                 return generations.Lack.PREFILL
@@ -357,7 +364,7 @@
         chosen = [e.upstream.id for e in (prefill, decode) if e is not None]
         if not self._limiter.acquire_all(chosen, now):
             return generations.Lack.MEMORY
-        return self._placed(job, prefill, decode, ready, now)
+        return self._placed(job, prefill, decode, ready_at, now)
 
     def _placed(
         self,
@@ -367,10 +374,10 @@
         ready: float,
         now: float,
     ) -> generations.Placed:
-        """Note where a request goes."""
+        """Record the placement of a request."""
         chosen = prefill.upstream.id if prefill is not None else None
-        self._returns.record_placement(job.fingerprint)
-        self._measures.record_placement(now)
+        self._retries.record_placement(job.fingerprint)
+        self._estimator.record_placement(now)
         decode.memory.add(job.make_run(ready))
         decode.health.record_run(now)
         placement = placements.Placement(
@@ -386,13 +393,13 @@
             placement.had_idle_prefill = not prefill.pending
             prefill.assign(
                 job.stream,
-                self._measures.prefill_seconds(job.prompt_tokens),
-                self._measures.prefill_busy_seconds(job.prompt_tokens),
+                self._estimator.prefill_seconds(job.prompt_tokens),
+                self._estimator.prefill_busy_seconds(job.prompt_tokens),
                 now,
             )
         elif not job.is_prefilled:
             decode.prefilling_until = now + decodeprefill.busy_seconds(
-                job, self._measures
+                job, self._estimator
             )
         why = (
             f'load={decode.memory.load(now):.2f} '
@@ -403,18 +410,18 @@
 
     # Runs.
 
-    def _run(self, stream: ids.StreamId) -> memory.Run | None:
+    def _find_run(self, stream: ids.StreamId) -> memory.Run | None:
         placement = self._placements.get(stream)
         if placement is None or placement.engine not in self._pool.decodes:
             return None
         return self._pool.decodes[placement.engine].memory.runs.get(stream)
 
-    def _told(self, stream: ids.StreamId, now: float) -> None:
+    def _confirm(self, stream: ids.StreamId, now: float) -> None:
         placement = self._placements.get(stream)
         if placement is not None:
             placement.confirmed_at = now
 
-    def _forget(self, stream: ids.StreamId, now: float) -> None:
+    def _remove_run(self, stream: ids.StreamId, now: float) -> None:
         placement = self._placements.pop(stream, None)
         if placement is not None and placement.prefill is not None:
             self._pool.cancel_prefill(placement.prefill, stream)
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -202,7 +202,7 @@
         """Return the runs a second that the decode engines can complete."""
         current = self._estimator.figures
         read = self._estimator.prefill_seconds(round(current.prompt))
-        return self._pool.completion_rate(
+        return self._pool.throughput(
             self._estimator.mean_held_tokens, current.output, read
         )
 
--- a/galenahatch/core/members.py
+++ b/galenahatch/core/members.py
@@ -10,21 +10,21 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The members of a deployment, and their order.
+"""The members of a deployment, and their ranks.
 
-The store numbers the rows that members write at their start, so all see the
-same order: who has been there longest comes first. A member that restarted
-knows nothing; its place is at the end from the moment on at which it is
-noticed, until its new row tells so.
+The store numbers the rows that members write at their start, so all agree on
+the order: the oldest member comes first. A member that restarted has lost its
+state; it ranks last from the time at which this is noticed, until its new row
+gives it a rank.
 
-A place is a version of the store (`core/versions`). A store that comes back
-from an older copy may have lost rows; the rows that it has keep their order,
-and are placed anew by the numbers that it lists. What members tell of their
-places counts only if it is of the era of the rows that were read.
+A rank is a version of the store (`core/versions`). A store restored from an
+older copy may have lost rows; the rows that it has keep their order and are
+ranked anew by the numbers that it lists. Ranks that members report count only
+if they are of the era of the rows that were read.
 
-Silence counts only while this process listens. One that did not run for 0.9 s
-took all others for away, and itself for the owner, for half a second after
-it; what two owners place fills the same engines.
+Silence counts only while this process listens. A process that was suspended
+for 0.9 s took all others for dead, and itself for the owner, for half a second
+after it; two owners place requests on the same engines.
 """
 
 import dataclasses
@@ -36,30 +36,31 @@
 from galenahatch import ids
 
 SILENCE_TIMEOUT_S: typing.Final = 0.8
-"""Seconds without a word after which a member counts as away: three beats."""
+"""Seconds without a message after which a member counts as dead: three
+heartbeats."""
 HEARTBEAT_INTERVAL_S: typing.Final = 0.25
-"""Seconds between beats, where they are not slower."""
+"""Seconds between heartbeats at full rate."""
 LISTEN_INTERVAL_S: typing.Final = 0.25
-"""Seconds between two looks at what members send."""
+"""Seconds between two reads of members' messages."""
 FULL_RATE_MEMBERS: typing.Final = 40
-"""Members from which on the beat slows down, so that what the owner spends
-on beats stays the same."""
-_LATE: typing.Final = 1.3
-"""Times its interval after which a beat is missed, where beats are slow."""
-_LAST: typing.Final = versions.Version(sys.maxsize, sys.maxsize)
+"""Members above which heartbeats slow down, so that the owner's cost of
+heartbeats stays constant."""
+_MAX_LATENESS: typing.Final = 1.3
+"""Multiple of its interval after which a slowed heartbeat counts as missed."""
+_LAST_RANK: typing.Final = versions.Version(sys.maxsize, sys.maxsize)
 NO_RANK: typing.Final = versions.Version(0, 0)
-"""Of a member that has no row yet."""
+"""Rank of a member that has no row yet."""
 
 
 @dataclasses.dataclass
 class Member:
-    """What is known of one member.
+    """State of one member.
 
     Attributes:
-        order: its place; the lowest decides.
-        outdated: newest place of a process of it that has ended.
-        found_at: when its row was first seen.
-        hears_store: whether it follows the store without trouble.
+        rank: Its rank; the lowest decides.
+        stale_rank: Newest rank of a process of it that has ended.
+        discovered_at: Time at which its row was first seen.
+        follows_store: Whether it follows the store without errors.
     """
 
     address: str
@@ -73,87 +74,89 @@
     stale_rank: versions.Version = NO_RANK
     unlisted_at: float = math.inf
 
-    def update_rank(self, order: versions.Version) -> None:
-        """Take a place, if it is newer than the one that is known."""
-        known = self.stale_rank if self.rank == _LAST else self.rank
-        if order > known:
-            self.rank = order
+    def update_rank(self, rank: versions.Version) -> None:
+        """Set the rank if it is newer than the known one."""
+        current = self.stale_rank if self.rank == _LAST_RANK else self.rank
+        if rank > current:
+            self.rank = rank
 
-    def update_from_row(self, order: versions.Version) -> None:
-        """Take the place of a row.
+    def update_from_row(self, rank: versions.Version) -> None:
+        """Set the rank of a row.
 
-        After a restore, the row of a process that has ended may be back.
+        After a restore, the row of a process that has ended may reappear.
         """
-        is_back = order.number <= self.stale_rank.number
-        if self.rank != _LAST or not is_back:
-            self.update_rank(order)
+        is_restored = rank.number <= self.stale_rank.number
+        if self.rank != _LAST_RANK or not is_restored:
+            self.update_rank(rank)
 
     def record_restart(self) -> None:
-        """Be last until the row of the new process is known."""
-        if self.rank != _LAST:
+        """Rank last until the row of the new process is known."""
+        if self.rank != _LAST_RANK:
             self.stale_rank = self.rank
-        self.rank = _LAST
+        self.rank = _LAST_RANK
 
 
-def liveness_window(slower: float) -> float:
-    """Return the seconds in which each member that can be reached is heard.
+def liveness_window(slowdown: float) -> float:
+    """Return the seconds within which each reachable member is heard.
 
     Args:
-        slower: how many times slower than usual beats are.
+        slowdown: Factor by which heartbeats are slowed down.
     """
-    return max(SILENCE_TIMEOUT_S, _LATE * HEARTBEAT_INTERVAL_S * slower)
+    return max(
+        SILENCE_TIMEOUT_S, _MAX_LATENESS * HEARTBEAT_INTERVAL_S * slowdown
+    )
 
 
 class Members:
     """All members with a row.
 
     Args:
-        me: this one.
+        own_name: Name of this member.
     """
 
-    def __init__(self, me: ids.MemberId) -> None:
-        self._me = me
-        self._joined = NO_RANK
+    def __init__(self, own_name: ids.MemberId) -> None:
+        self._own_name = own_name
+        self._own_rank = NO_RANK
         self._era = 0
-        self._told_size = 1
-        self._listened_at = math.inf
-        # In their order; nothing once places or members have changed.
-        self._ordered: list[ids.MemberId] | None = None
+        self._reported_size = 1
+        self._last_listen_at = math.inf
+        # Names by rank; None after ranks or members have changed.
+        self._ranking: list[ids.MemberId] | None = None
         self.by_name: dict[ids.MemberId, Member] = {}
 
     @property
     def rank(self) -> versions.Version:
-        """The place that this member's row has got; number 0 until then."""
-        return self._joined
+        """Rank of this member's row; number 0 until it has one."""
+        return self._own_rank
 
     @property
     def size(self) -> int:
-        """Members, by rows or by what others tell."""
-        return max(1, len(self.by_name), self._told_size)
+        """Number of members, by rows or by others' reports."""
+        return max(1, len(self.by_name), self._reported_size)
 
     @property
     def heartbeat_slowdown(self) -> float:
-        """How many times slower than usual beats are."""
+        """Factor by which heartbeats are slowed down."""
         return max(1.0, self.size / FULL_RATE_MEMBERS)
 
     def add_row(
         self,
         name: ids.MemberId,
         port: int,
-        order: versions.Version,
+        rank: versions.Version,
         now: float,
     ) -> bool:
-        """Take a row; return whether the member is new."""
-        self._era = max(self._era, order.era)
-        self._ordered = None
+        """Add or update a member; return whether it is new."""
+        self._era = max(self._era, rank.era)
+        self._ranking = None
         member = self.by_name.get(name)
         if member is None:
-            self.by_name[name] = Member(name, port, order, now)
+            self.by_name[name] = Member(name, port, rank, now)
         else:
-            member.update_from_row(order)
+            member.update_from_row(rank)
             member.leaving = False
             member.unlisted_at = math.inf
-        self._place_me()
+        self._update_own_rank()
         return member is None
 
     def keep_unlisted(
@@ -161,70 +164,71 @@
     ) -> bool:
         """Keep a member that a restored store lacks, if its row was lost.
 
-        It is last until its row is written again.
+        It ranks last until its row is written again.
 
         Args:
-            name: of the member.
-            version: as of which the store lists rows.
-            now: monotonic seconds.
+            name: Name of the member.
+            version: Version as of which the store lists rows.
+            now: Monotonic time in seconds.
 
         Returns:
-            Whether it is kept. A row with a number that the store has given
-            out again may have been removed.
+            Whether it is kept. A row whose number the store has assigned again
+            may have been removed.
         """
         member = self.by_name[name]
         if member.rank.number <= version.number:
             return False
-        self._ordered = None
-        member.rank = _LAST
+        self._ranking = None
+        member.rank = _LAST_RANK
         member.unlisted_at = min(member.unlisted_at, now)
         return True
 
     def unlisted_since(self, moment: float) -> list[ids.MemberId]:
-        """Return members that have had no row since a moment."""
+        """Return members that have had no row since a time."""
         return [n for n, m in self.by_name.items() if m.unlisted_at <= moment]
 
     def remove(self, name: ids.MemberId) -> bool:
-        """Forget a member whose row is gone; return whether it was known."""
-        self._ordered = None
+        """Remove a member whose row is gone; return whether it was known."""
+        self._ranking = None
         return self.by_name.pop(name, None) is not None
 
-    def record_join(self, order: versions.Version) -> None:
-        """Note the place that this member's row has got."""
-        self._ordered = None
-        self._joined = order
-        self._place_me()
+    def record_join(self, rank: versions.Version) -> None:
+        """Set the rank of this member's row."""
+        self._ranking = None
+        self._own_rank = rank
+        self._update_own_rank()
 
     def record_row_lost(self) -> None:
-        """Note that this member has no row any more."""
+        """Record that this member no longer has a row."""
         self.record_join(NO_RANK)
 
-    def _place_me(self) -> None:
-        """Keep this member last until it has joined.
+    def _update_own_rank(self) -> None:
+        """Rank this member last until it has joined.
 
-        A row of before a restart tells of what this process does not know.
+        A row from before a restart says nothing about this process.
         """
-        me = self.by_name.get(self._me)
-        if me is not None:
-            is_placed = self._joined != NO_RANK
-            me.rank = self._joined if is_placed else _LAST
+        member = self.by_name.get(self._own_name)
+        if member is not None:
+            is_placed = self._own_rank != NO_RANK
+            member.rank = self._own_rank if is_placed else _LAST_RANK
 
     def record_listen(self, now: float) -> float:
-        """Note that this process runs, and reads what members send.
+        """Record that this process runs and reads members' messages.
 
-        To be called every `LISTEN_EVERY` seconds. After a pause it comes
-        before what was sent meanwhile is read: that time is no silence.
+        Called every `LISTEN_INTERVAL_S` seconds. After a suspension it is
+        called before the messages that arrived meanwhile are read: that time
+        is no silence.
 
         Returns:
-            Seconds for which this process did not run; 0 if hardly any.
+            Seconds for which this process was suspended; 0 if negligible.
         """
-        missed = now - self._listened_at - LISTEN_INTERVAL_S
-        self._listened_at = now
-        if missed < LISTEN_INTERVAL_S:
+        paused = now - self._last_listen_at - LISTEN_INTERVAL_S
+        self._last_listen_at = now
+        if paused < LISTEN_INTERVAL_S:
             return 0.0
         for member in self.by_name.values():
-            member.heard_at = min(now, member.heard_at + missed)
-        return missed
+            member.heard_at = min(now, member.heard_at + paused)
+        return paused
 
     def record_message(
         self,
@@ -232,16 +236,16 @@
         now: float,
         leaving: bool | None = None,
         incarnation: int = 0,
-        order: versions.Version = NO_RANK,
+        rank: versions.Version = NO_RANK,
     ) -> None:
-        """Note a word of a member.
+        """Record a message of a member.
 
         Args:
-            name: of the member.
-            now: monotonic seconds.
-            leaving: whether it stops, if it told.
-            incarnation: of its process, if it told.
-            order: of its process's row, if it told; a row that was read
+            name: Name of the member.
+            now: Monotonic time in seconds.
+            leaving: Whether it is stopping, if reported.
+            incarnation: Incarnation of its process, if reported.
+            rank: Rank of its process's row, if reported; a row that was read
                 may be of an earlier process.
         """
         member = self.by_name.get(name)
@@ -250,81 +254,83 @@
         member.heard_at = now
         if leaving is not None:
             member.leaving = leaving
-        before = member.rank
+        previous = member.rank
         if incarnation and member.incarnation not in (0, incarnation):
             member.record_restart()
         member.incarnation = incarnation or member.incarnation
-        if order.era == self._era:
-            member.update_rank(order)
-        if member.rank != before:
-            self._ordered = None
+        if rank.era == self._era:
+            member.update_rank(rank)
+        if member.rank != previous:
+            self._ranking = None
 
     def set_reported_size(self, size: int) -> None:
-        """Note how many members one that is asked often knows of."""
-        self._told_size = size
+        """Set the size of the deployment that another member reports."""
+        self._reported_size = size
 
     def set_follows_store(self, name: ids.MemberId, hears_store: bool) -> None:
-        """Note whether a member hears the store."""
+        """Record whether a member follows the store."""
         member = self.by_name.get(name)
         if member is not None:
             member.follows_store = hears_store
 
     def first_following_store(self, now: float) -> ids.MemberId | None:
-        """Return the first member beside this one that hears the store."""
+        """Return the first other live member that follows the store."""
         for name in self.by_rank():
-            if name == self._me or not self.by_name[name].follows_store:
+            if name == self._own_name or not self.by_name[name].follows_store:
                 continue
             if self.is_live(name, now):
                 return name
         return None
 
     def mark_silent(self, name: ids.MemberId) -> None:
-        """Count a member as away until it is heard again."""
+        """Treat a member as dead until its next message."""
         member = self.by_name.get(name)
         if member is not None:
             member.heard_at = -1e9
 
     def by_rank(self) -> list[ids.MemberId]:
-        """Return all members, who has been there longest first."""
-        if self._ordered is None:
-            self._ordered = sorted(
+        """Return all members, the oldest first."""
+        if self._ranking is None:
+            self._ranking = sorted(
                 self.by_name, key=lambda name: (self.by_name[name].rank, name)
             )
-        return self._ordered
+        return self._ranking
 
     def is_live(self, name: ids.MemberId, now: float) -> bool:
-        """Return whether a member answers and does not stop."""
+        """Return whether a member sends messages and is not stopping."""
         member = self.by_name.get(name)
         if member is None or member.leaving:
             return False
-        listened = min(now, self._listened_at + LISTEN_INTERVAL_S)
+        listened_at = min(now, self._last_listen_at + LISTEN_INTERVAL_S)
         return (
-            listened - member.heard_at
+            listened_at - member.heard_at
             < SILENCE_TIMEOUT_S * self.heartbeat_slowdown
         )
 
     def reachable_fraction(self, now: float) -> float:
-        """Return which part of all members this one decides for.
+        """Return the fraction of all members that this one decides for.
 
-        Those that are silent may be gone, or be decided for elsewhere.
+        Silent members may be dead, or have another owner.
         """
-        listened = min(now, self._listened_at + LISTEN_INTERVAL_S)
-        others = [m for name, m in self.by_name.items() if name != self._me]
-        within = liveness_window(self.heartbeat_slowdown)
-        heard = sum(listened - m.heard_at < within for m in others)
-        return min(1.0, (1 + heard) / self.size)
+        listened_at = min(now, self._last_listen_at + LISTEN_INTERVAL_S)
+        others = [
+            m for name, m in self.by_name.items() if name != self._own_name
+        ]
+        window = liveness_window(self.heartbeat_slowdown)
+        reachable = sum(listened_at - m.heard_at < window for m in others)
+        return min(1.0, (1 + reachable) / self.size)
 
     def owner(self, leaving: bool, now: float) -> ids.MemberId:
-        """Return the first member that answers; this one in the end.
+        """Return the first live member; this one as a last resort.
 
         Args:
-            leaving: whether this one stops.
-            now: monotonic seconds.
+            leaving: Whether this member is stopping.
+            now: Monotonic time in seconds.
         """
         for name in self.by_rank():
-            if name == self._me:
+            if name == self._own_name:
                 if not leaving:
                     return name
             elif self.is_live(name, now):
                 return name
-        return self._me
+        return self._own_name
--- a/galenahatch/core/memory.py
+++ b/galenahatch/core/memory.py
@@ -139,9 +139,7 @@
         if tokens <= run.generated:
             return
         if run.generated:
-            self._add_pace_sample(
-                tokens - run.generated, at - run.generated_at
-            )
+            self._sample_pace(tokens - run.generated, at - run.generated_at)
         run.generated = tokens
         run.generated_at = at
 
@@ -160,9 +158,9 @@
         if run is not None and run.generated:
             self.record_progress(stream, tokens, now)
         else:
-            self._add_pace_sample(tokens, seconds)
+            self._sample_pace(tokens, seconds)
 
-    def _add_pace_sample(self, tokens: int, seconds: float) -> None:
+    def _sample_pace(self, tokens: int, seconds: float) -> None:
         if tokens <= 0 or seconds <= 0:
             return
         self.paced_tokens += tokens
--- a/galenahatch/core/pool.py
+++ b/galenahatch/core/pool.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The engines of one service as its owner sees them.
+"""The engines of one service as seen by their owner.
 
-An engine belongs to the stage that it told itself of late, since its entry
-in the store is older while the store is away. One that changes its stage
-takes no work meanwhile. One that failed is left alone for a while.
+An engine's stage is the one that it reported recently, since its entry in the
+store is out of date while the store is unavailable. An engine that changes its
+stage accepts no work meanwhile. One that failed is suspended for a while.
 """
 
 import dataclasses
@@ -31,19 +31,19 @@
 from galenahatch.core import upstreams
 from galenahatch import ids
 
-_TOLD_LIFE: typing.Final = 3.0
-"""Seconds for which the stage in an engine's report goes before that in its
-entry; reports are read once a second."""
-_REMEMBERED: typing.Final = 30.0
-"""Seconds beyond its pause for which the health of an engine that is not
-listed is kept; entries of engines that live are back within seconds."""
-_AWAY: typing.Final = 0.1
-"""Weight, in parts of an engine's memory, of a transfer between data
-centres, which takes twice as long and is paid for."""
+_REPORT_MAX_AGE_S: typing.Final = 3.0
+"""Seconds for which the stage in an engine's report overrides its entry;
+reports are read once a second."""
+_RETAIN_S: typing.Final = 30.0
+"""Seconds beyond its suspension for which the health of an unlisted engine is
+kept; entries of live engines are back within seconds."""
+_REMOTE_WEIGHT: typing.Final = 0.1
+"""Load, as a fraction of an engine's memory, added for a transfer between data
+centres, which takes twice as long and is charged for."""
 
 
 @dataclasses.dataclass(frozen=True)
-class _Told:
+class _StageReport:
     stage: upstreams.Stage | None
     busy: bool
     at: float
@@ -53,9 +53,9 @@
     """The engines of one service.
 
     Args:
-        capacity: tokens of KV cache of each engine.
-        slots: runs at once of each engine.
-        limiter: of engines that name the rate of requests that they take.
+        capacity: Tokens of KV cache of each engine.
+        slots: Largest batch size of each engine.
+        limiter: Limiter of the engines that state a rate limit.
     """
 
     def __init__(
@@ -68,14 +68,14 @@
         self.decodes: dict[ids.UpstreamId, modelengines.DecodeEngine] = {}
         self.spread = lengths.INITIAL_SPREAD
         self._pace = paces.Pace()
-        self._told: dict[ids.UpstreamId, _Told] = {}
+        self._reports: dict[ids.UpstreamId, _StageReport] = {}
         self._healths: dict[ids.UpstreamId, modelengines.Health] = {}
         self._changing: dict[
             ids.UpstreamId, tuple[upstreams.Stage, float]
         ] = {}
 
     def set_spread(self, spread: float) -> None:
-        """Take how far the lengths of answers lie from predictions."""
+        """Set the relative deviation of answer lengths from predictions."""
         self.spread = spread
         for engine in self.decodes.values():
             engine.memory.spread = spread
@@ -86,21 +86,20 @@
         return bool(self._changing)
 
     def is_settled(self, now: float) -> bool:
-        """Return whether every engine has told its stage, and none changes.
+        """Return whether all engines reported their stages, and none changes.
 
-        A new owner does not know what the one before it ordered: it counted
-        an engine that was about to answer as one that still reads, and took
-        a second one away from reading.
+        A new owner does not know its predecessor's orders: it counted an
+        engine that was changing as a prefill engine, and took a second one.
         """
-        told = self._told
-        every = (*self.prefills, *self.decodes)
-        if any(e not in told or self._is_old(told[e], now) for e in every):
+        latest = self._reports
+        keys = (*self.prefills, *self.decodes)
+        if any(k not in latest or self._is_old(latest[k], now) for k in keys):
             return False
-        busy = (t for t in told.values() if t.busy)
+        busy = (t for t in latest.values() if t.busy)
         return not self._changing and all(self._is_old(t, now) for t in busy)
 
-    def _is_old(self, told: _Told, now: float) -> bool:
-        return now - told.at > _TOLD_LIFE
+    def _is_old(self, report: _StageReport, now: float) -> bool:
+        return now - report.at > _REPORT_MAX_AGE_S
 
     def set_engines(
         self,
@@ -108,63 +107,67 @@
         pace: float,
         now: float,
     ) -> None:
-        """Take the engines that take work; known ones keep their state.
+        """Set the engines that accept work; known ones keep their state.
 
         Args:
-            engines: of the service.
-            pace: seconds for a token that a new one is believed to take.
-            now: monotonic seconds.
+            engines: Engines of the service.
+            pace: Seconds for a token assumed for a new engine.
+            now: Monotonic time in seconds.
         """
         present = list(engines)
         listed = {engine.id for engine in present}
         current = {
-            engine.id: self._as_told(engine, now)
+            engine.id: self._with_reported_stage(engine, now)
             for engine in present
             if not self._is_busy(engine.id, now)
         }
         for engine, (stage, until) in list(self._changing.items()):
-            found = current.get(engine)
-            is_done = found is not None and found.stage is stage
-            # One that is not listed any more ended before it changed: waiting
-            # for it would hold back every further change.
+            entry = current.get(engine)
+            is_done = entry is not None and entry.stage is stage
+            # An unlisted engine ended before it changed; waiting for it would
+            # block all further changes.
             if is_done or until < now or engine not in listed:
                 del self._changing[engine]
             else:
                 current.pop(engine, None)
-        for gone in [key for key in self.prefills if key not in current]:
-            self._healths[gone] = self.prefills.pop(gone).health
-        for gone in [key for key in self.decodes if key not in current]:
-            self._healths[gone] = self.decodes.pop(gone).health
+        for key in [key for key in self.prefills if key not in current]:
+            self._healths[key] = self.prefills.pop(key).health
+        for key in [key for key in self.decodes if key not in current]:
+            self._healths[key] = self.decodes.pop(key).health
         for upstream in current.values():
-            self._keep(upstream, pace)
-        self._recall(now)
+            self._add_engine(upstream, pace)
+        self._restore_health(now)
 
-    def _recall(self, now: float) -> None:
-        """Give engines that are listed again the health that they had.
+    def _restore_health(self, now: float) -> None:
+        """Give engines that are listed again their former health.
 
-        The entry of one that can't be reached may lapse and come back while
-        it still can't: taken for a new one, it was sent six runs at once.
+        The entry of an unreachable engine may lapse and come back while it is
+        still unreachable: treated as new, it was sent six runs at once.
         """
         for key, health in list(self._healths.items()):
-            found = self.prefills.get(key) or self.decodes.get(key)
-            if found is not None:
-                found.health = health
-            if found is not None or health.suspended_until + _REMEMBERED < now:
+            engine = self.prefills.get(key) or self.decodes.get(key)
+            if engine is not None:
+                engine.health = health
+            if engine is not None or health.suspended_until + _RETAIN_S < now:
                 del self._healths[key]
 
-    def _as_told(
+    def _with_reported_stage(
         self, engine: upstreams.Upstream, now: float
     ) -> upstreams.Upstream:
-        told = self._told.get(engine.id)
-        if told is None or self._is_old(told, now):
+        report = self._reports.get(engine.id)
+        if report is None or self._is_old(report, now):
             return engine
-        return dataclasses.replace(engine, stage=told.stage)
+        return dataclasses.replace(engine, stage=report.stage)
 
     def _is_busy(self, engine: ids.UpstreamId, now: float) -> bool:
-        told = self._told.get(engine)
-        return told is not None and told.busy and now - told.at < _TOLD_LIFE
+        report = self._reports.get(engine)
+        return (
+            report is not None
+            and report.busy
+            and now - report.at < _REPORT_MAX_AGE_S
+        )
 
-    def _keep(self, engine: upstreams.Upstream, pace: float) -> None:
+    def _add_engine(self, engine: upstreams.Upstream, pace: float) -> None:
         if engine.stage is upstreams.Stage.PREFILL:
             self.decodes.pop(engine.id, None)
             self.prefills.setdefault(
@@ -188,16 +191,16 @@
         busy: bool,
         now: float,
     ) -> None:
-        """Take what an engine reports.
+        """Record the report of an engine.
 
         Args:
-            engine: that reports.
-            used: tokens of memory that can't yield.
-            stage: that it is in.
-            busy: whether it carries out an order; it takes no work then.
-            now: monotonic seconds.
+            engine: Engine that reports.
+            used: Tokens of memory that can't be evicted.
+            stage: Its stage.
+            busy: Whether it carries out an order; it accepts no work then.
+            now: Monotonic time in seconds.
         """
-        self._told[engine] = _Told(stage, busy, now)
+        self._reports[engine] = _StageReport(stage, busy, now)
         decode = self.decodes.get(engine)
         if decode is not None:
             decode.memory.record_usage(used, now)
@@ -205,10 +208,9 @@
     def record_stage_order(
         self, engine: ids.UpstreamId, stage: upstreams.Stage, until: float
     ) -> None:
-        """Note that an engine was ordered to change its stage.
+        """Record that an engine was ordered to change its stage.
 
-        It takes no work until it tells the new stage, or until a moment at
-        which the order counts as lost.
+        It accepts no work until it reports the new stage, at most `until`.
         """
         self._changing[engine] = stage, until
         self.prefills.pop(engine, None)
@@ -221,37 +223,37 @@
     def record_failure(
         self, engine: ids.UpstreamId, now: float, unreachable: bool = False
     ) -> None:
-        """Note that an engine failed a request."""
+        """Record that an engine failed a request."""
         found = self.prefills.get(engine) or self.decodes.get(engine)
         if found is not None:
             found.health.record_failure(now, unreachable)
 
     def record_first_event(self, engine: ids.UpstreamId | None) -> None:
-        """Note that a run came to its first event with an engine's help."""
+        """Record that an engine took part in a run's first event."""
         if engine in self.prefills:
-            # Its part is done, and done well.
+            # Its part of the run is complete.
             self.prefills[engine].health.record_success()
         elif engine in self.decodes:
             self.decodes[engine].health.record_first_event()
 
     def record_transfer(self, engine: ids.UpstreamId) -> None:
-        """Note that a result of a prefill engine was taken over."""
+        """Record that a prefill engine's result was transferred."""
         found = self.prefills.get(engine)
         if found is not None:
             found.health.record_success()
 
-    def mean_pace(self, otherwise: float) -> float:
+    def mean_pace(self, default: float) -> float:
         """Return the mean seconds for a token."""
-        known = [engine.memory.pace for engine in self.decodes.values()]
-        return sum(known) / len(known) if known else otherwise
+        values = [engine.memory.pace for engine in self.decodes.values()]
+        return sum(values) / len(values) if values else default
 
-    def mean_pace_at_batch(self, runs: float, otherwise: float) -> float:
-        """Return the mean seconds for a token at engines with some runs."""
-        known = [e.memory.pace_at_batch(runs) for e in self.decodes.values()]
-        return sum(known) / len(known) if known else otherwise
+    def mean_pace_at_batch(self, runs: float, default: float) -> float:
+        """Return the mean seconds for a token at a batch size."""
+        values = [e.memory.pace_at_batch(runs) for e in self.decodes.values()]
+        return sum(values) / len(values) if values else default
 
     def available_prefills(self, now: float) -> int:
-        """Return how many prefill engines are not left alone."""
+        """Return the number of prefill engines that are not suspended."""
         return sum(
             e.health.suspended_until <= now for e in self.prefills.values()
         )
@@ -263,7 +265,7 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Note how long a prefill engine took to read a prompt."""
+        """Record how long a prefill engine took to read a prompt."""
         found = self.prefills.get(engine)
         if found is not None:
             found.record_result(stream, seconds, now)
@@ -271,7 +273,7 @@
     def cancel_prefill(
         self, engine: ids.UpstreamId, stream: ids.StreamId
     ) -> None:
-        """Note that a prefill engine is not to read for a stream any more."""
+        """Record that a prefill engine no longer reads for a stream."""
         found = self.prefills.get(engine)
         if found is not None:
             found.pending.pop(stream, None)
@@ -285,7 +287,7 @@
         alone: float,
         now: float,
     ) -> float | None:
-        """Note that an engine read a prompt; see `PrefillEngine.read`."""
+        """Record a result; see `PrefillEngine.record_overlap`."""
         found = self.prefills.get(engine)
         if found is None:
             return None
@@ -293,10 +295,10 @@
 
     @property
     def paced_tokens(self) -> int:
-        """Tokens from which the pace was measured.
+        """Tokens behind the measured pace.
 
         Those of engines whose entries have lapsed since count as well: they
-        are back within seconds, and no order was given until then.
+        are back within seconds, and no order is given until then.
         """
         return self._pace.sampled_tokens
 
@@ -305,20 +307,20 @@
     def choose_prefill(
         self,
         job: generations.Job,
-        reading: float,
+        expected: float,
         explore: bool,
         now: float,
     ) -> modelengines.PrefillEngine | None:
-        """Return the engine that will have read first, of those the nearest.
+        """Return the engine that is done first; of equals, a near one.
 
         Args:
-            job: that wants one.
-            reading: seconds for its prompt at an engine that is well.
-            explore: whether to prefer one that has not answered yet, though
-                it should have read all: whether it has is seen from that.
-            now: monotonic seconds.
+            job: Request that needs one.
+            expected: Seconds for its prompt at a healthy engine.
+            explore: Whether to prefer an engine with a pending prompt, which
+                shows how prefills overlap.
+            now: Monotonic time in seconds.
         """
-        found = [
+        candidates = [
             engine
             for engine in self.prefills.values()
             if engine.health.suspended_until <= now
@@ -327,57 +329,55 @@
             and self._limiter.can_acquire(engine.upstream.id, now)
         ]
 
-        def key(
-            engine: modelengines.PrefillEngine,
-        ) -> tuple[float, bool, bool]:
-            near = engine.upstream.data_centre == job.data_centre
-            tells = explore and bool(engine.pending)
-            delayed = reading * (engine.slowness(now) - 1.0)
-            idle_at = max(now, engine.idle_at)
-            return idle_at + delayed, not tells, not near
+        def key(e: modelengines.PrefillEngine) -> tuple[float, bool, bool]:
+            is_near = e.upstream.data_centre == job.data_centre
+            is_informative = explore and bool(e.pending)
+            delay = expected * (e.slowness(now) - 1.0)
+            idle_at = max(now, e.idle_at)
+            return idle_at + delay, not is_informative, not is_near
 
-        return min(found, key=key, default=None)
+        return min(candidates, key=key, default=None)
 
     def choose_decode(
         self,
         job: generations.Job,
         prefill: modelengines.PrefillEngine | None,
-        ready: float,
+        ready_at: float,
         now: float,
     ) -> modelengines.DecodeEngine | None:
-        """Return the least filled engine with room, the near ones first.
+        """Return the least loaded engine with room, near ones first.
 
         Args:
-            job: that wants one.
-            prefill: engine that reads its prompt; None if none does.
-            ready: when the prompt will have been read.
-            now: monotonic seconds.
+            job: Request that needs one.
+            prefill: Engine that reads its prompt; None if none does.
+            ready_at: Time at which the prompt will have been read.
+            now: Monotonic time in seconds.
         """
-        run = job.make_run(ready)
-        reads = prefill is None and not job.is_prefilled
-        found = [
+        run = job.make_run(ready_at)
+        reads_prompt = prefill is None and not job.is_prefilled
+        candidates = [
             engine
             for engine in self.usable_decodes(job, now)
             if engine.fits(run, now)
-            and not (reads and engine.prefilling_until > now)
+            and not (reads_prompt and engine.prefilling_until > now)
             and self._limiter.can_acquire(engine.upstream.id, now)
         ]
 
         def key(engine: modelengines.DecodeEngine) -> float:
-            away = prefill is not None and (
+            is_remote = prefill is not None and (
                 engine.upstream.data_centre != prefill.upstream.data_centre
             )
-            return engine.memory.load(now) + _AWAY * away
+            return engine.memory.load(now) + _REMOTE_WEIGHT * is_remote
 
-        return min(found, key=key, default=None)
+        return min(candidates, key=key, default=None)
 
     def usable_decodes(
         self, job: generations.Job, now: float
     ) -> list[modelengines.DecodeEngine]:
-        """Return the engines that a request may go to now.
+        """Return the engines that a request may use now.
 
-        Those that failed of late are used only if there is no other, and
-        those that could not be reached, or want a pause, not even then.
+        Engines that failed recently are used only if there is no other;
+        unreachable or paused ones not even then.
         """
         free = [
             engine
@@ -385,8 +385,8 @@
             if not job.is_paused(engine.upstream.id, now)
         ]
         usable = [e for e in free if e.upstream.id not in job.avoid] or free
-        well = [e for e in usable if e.health.suspended_until <= now]
-        return well or [e for e in usable if not e.health.unreachable]
+        healthy = [e for e in usable if e.health.suspended_until <= now]
+        return healthy or [e for e in usable if not e.health.unreachable]
 
     def seconds_to_next_trial(self, now: float) -> float:
         """Return the seconds until a decode engine may be given a run."""
@@ -397,11 +397,11 @@
         return max(0.0, min(waits, default=0.0))
 
     def concurrent_runs(self, held: float, output: float) -> float:
-        """Return the runs that a decode engine holds at the same time.
+        """Return the mean batch size of a full decode engine.
 
         Args:
-            held: mean tokens that a run holds over its life.
-            output: mean tokens of an answer.
+            held: Mean tokens that a run holds over its life.
+            output: Mean tokens of an answer.
         """
         if held <= 0:
             return self.slots
@@ -411,20 +411,18 @@
         )
         return max(1.0, min(self.slots, (self.capacity - margin) / held))
 
-    def completion_rate(
-        self, held: float, output: float, read: float
-    ) -> float:
-        """Return the runs a second that the decode engines can end.
+    def throughput(self, held: float, output: float, delay: float) -> float:
+        """Return the runs a second that the decode engines complete.
 
         Args:
-            held: mean tokens that a run holds over its life.
-            output: mean tokens of an answer.
-            read: mean seconds for which a place is kept before it starts.
+            held: Mean tokens that a run holds over its life.
+            output: Mean tokens of an answer.
+            delay: Mean seconds for which a slot is kept before a run.
         """
         if held <= 0:
             return 0.0
         runs = self.concurrent_runs(held, output)
         return sum(
-            runs / (max(0.1, output * e.memory.pace_at_batch(runs)) + read)
+            runs / (max(0.1, output * e.memory.pace_at_batch(runs)) + delay)
             for e in self.decodes.values()
         )
--- a/galenahatch/core/quarantine.py
+++ b/galenahatch/core/quarantine.py
@@ -10,33 +10,33 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Requests that end the upstreams that begin to run them.
-
-Such a request can't be told from others before it runs, comes again under
-another id and at another gateway, and takes all down that run beside it. So
-it is counted, by its digest, which upstreams ended under a request that had
-just begun there. Three are enough to hold it back.
-
-Those who were only beside it look alike, and meet it again where they are
-retried. Four things tell them apart:
-
-- a request that ran whole is none of these, and is cleared for as long as
-  anything is remembered of it;
-- an end counts for one request: what a held request explains no longer
-  counts for those who were there as well;
-- requests that are suspected do not begin beside each other
-  (`core/placements`), so one that was beside it is not so again;
-- where nobody decides that, at plain upstreams, one may be beside it again.
-  As long as another was at all the same ends, neither is held, until so many
-  have ended that this can't wait.
-
-The records are sets that only grow, and the verdict follows from them alone.
-So gateways may tell each other what they know in any order and as often as
-they like, and come to the same verdict (`hear`). A record is forgotten ten
-minutes after its last end: engines may have been mended meanwhile, and a
-request that still ends them is held again after three.
-
-Times are monotonic seconds; there is no input or output here.
+"""Holds back requests that end the upstreams that run them.
+
+Such a request can't be told from others before it runs, is retried under
+another id and at another gateway, and takes down all requests that run beside
+it. So for each request digest, the upstreams that ended just after it began
+there are counted. Three are enough to hold it back.
+
+Requests that were only beside it look the same, and meet it again when they
+are retried. Four rules tell them apart:
+
+- a request that ran to completion is harmless, and is cleared for as long as
+  it is remembered;
+- an end counts for one request: ends that a held request explains no longer
+  count for requests that were there as well;
+- suspected requests do not start beside each other (`core/placements`), so one
+  that was beside a harmful request is not beside it again;
+- at plain upstreams, where placement does not prevent it, one may be beside it
+  again. As long as two requests share all their ends, neither is held, until
+  so many upstreams have ended that this can't wait.
+
+The records are grow-only sets, and the verdict follows from them alone. So
+gateways may report to each other in any order and repeatedly, and reach the
+same verdict (`merge`). A record is dropped ten minutes after its last end:
+engines may have been repaired meanwhile, and a request that still ends them is
+held again after three.
+
+Times are monotonic seconds; this module does no I/O.
 """
 
 import collections.abc
@@ -48,31 +48,32 @@
 
 END_THRESHOLD: typing.Final = 3
 """Ends of upstreams after which a request is held back."""
-_ENDS_SURELY: typing.Final = 5
-"""Ends after which it is held back though another one was at all of them."""
-_MOST_ENDS: typing.Final = 8
-"""Ends that are kept of a request; more change nothing."""
-_LASTING: typing.Final = 2
-"""Ends from which on a record is worth to be stored."""
+_CERTAIN_END_THRESHOLD: typing.Final = 5
+"""Ends after which it is held back though another request shares them all."""
+_MAX_ENDS: typing.Final = 8
+"""Ends kept for a request; more change nothing."""
+_MIN_PERSISTENT_ENDS: typing.Final = 2
+"""Ends from which a record is stored."""
 RECORD_LIFE_S: typing.Final = 600.0
 """Seconds after its last end for which a request is remembered."""
-_MOST_RECORDS: typing.Final = 1024
-_MOST_TOLD: typing.Final = 16
-"""Records in one message, some 45 bytes each."""
-_FRESH: typing.Final = 2.0
-"""Seconds for which a change goes into each message; all else in turn."""
+_MAX_RECORDS: typing.Final = 1024
+_MAX_REPORTS: typing.Final = 16
+"""Records in one message, about 45 bytes each."""
+_RECENT_S: typing.Final = 2.0
+"""Seconds for which a change is included in each message; others take turns.
+"""
 
 Digest = ids.RequestDigest
 
 
 @dataclasses.dataclass(frozen=True)
 class Suspicion:
-    """What is told of a request.
+    """Report on a request.
 
     Attributes:
-        ends: numbers of the upstreams that ended under it.
-        age: seconds since its last end, or since it was cleared.
-        cleared: whether it ran whole.
+        ends: Numbers of the upstreams that ended under it.
+        age: Seconds since its last end, or since it was cleared.
+        cleared: Whether it ran to completion.
     """
 
     digest: Digest
@@ -83,30 +84,30 @@
 
 @dataclasses.dataclass
 class _Record:
-    """What is known of a request.
+    """State of a request.
 
     Attributes:
-        changed_at: its last end, or when it was cleared.
-        learnt_at: when that was learnt here.
+        changed_at: Time of its last end, or when it was cleared.
+        updated_at: Time at which this gateway was informed of that.
     """
 
     ends: set[int]
     changed_at: float
-    learnt_at: float
+    updated_at: float
     cleared: bool = False
 
 
 class Quarantine:
-    """What is known of requests that may end upstreams."""
+    """Requests that may end upstreams."""
 
     def __init__(self) -> None:
         self._records: dict[Digest, _Record] = {}
         self._held: frozenset[Digest] = frozenset()
-        self._turn = 0
+        self._next_report = 0
 
     @property
     def is_empty(self) -> bool:
-        """Whether no request is suspected, nor was of late."""
+        """Whether no request is, or recently was, suspected."""
         return not self._records
 
     @property
@@ -115,7 +116,7 @@
         return self._held
 
     def is_suspect(self, digest: Digest) -> bool:
-        """Return whether an upstream ended under a request lately."""
+        """Return whether an upstream recently ended under a request."""
         record = self._records.get(digest)
         return record is not None and not record.cleared
 
@@ -124,94 +125,96 @@
         record = self._records.get(digest)
         return len(record.ends) if record is not None else 0
 
-    # What this gateway sees.
+    # Observations of this gateway.
 
     def record_end(
         self, digest: Digest, upstream: ids.UpstreamId, now: float
     ) -> None:
-        """Note that an upstream ended under a request it had just begun."""
+        """Record that an upstream ended just after a request began there."""
         number = zlib.crc32(upstream.encode())
         self.merge([Suspicion(digest, (number,))], now)
 
     def record_success(self, digest: Digest, now: float) -> bool:
-        """Note that a request ran whole; return whether it was suspected."""
+        """Record a completed request; return whether it was suspected."""
         if not self.is_suspect(digest):
             return False
         self.merge([Suspicion(digest, (), cleared=True)], now)
         return True
 
-    # What gateways tell each other.
+    # Reports between gateways.
 
     def make_reports(self, now: float) -> list[Suspicion]:
-        """Return what is new, most ends first, and of the rest some."""
-        fresh = sorted(
-            (-len(record.ends), -record.learnt_at, digest)
+        """Return recent changes, most ends first, and others in turn."""
+        recent = sorted(
+            (-len(record.ends), -record.updated_at, digest)
             for digest, record in self._records.items()
-            if now - record.learnt_at < _FRESH
+            if now - record.updated_at < _RECENT_S
+        )
+        reported = dict.fromkeys(
+            digest for _, _, digest in recent[:_MAX_REPORTS]
         )
-        told = dict.fromkeys(digest for _, _, digest in fresh[:_MOST_TOLD])
         rest = list(self._records)
-        while rest and len(told) < min(_MOST_TOLD, len(rest)):
-            self._turn = (self._turn + 1) % len(rest)
-            told[rest[self._turn]] = None
-        return [self._suspicion(digest, now) for digest in told]
+        while rest and len(reported) < min(_MAX_REPORTS, len(rest)):
+            self._next_report = (self._next_report + 1) % len(rest)
+            reported[rest[self._next_report]] = None
+        return [self._suspicion(digest, now) for digest in reported]
 
     def persistent_records(self, now: float) -> list[Suspicion]:
-        """Return what must outlive all gateways."""
+        """Return the records that must outlive all gateways."""
         return [
             self._suspicion(digest, now)
             for digest, record in self._records.items()
-            if len(record.ends) >= _LASTING
+            if len(record.ends) >= _MIN_PERSISTENT_ENDS
         ]
 
     def merge(
-        self, told: collections.abc.Iterable[Suspicion], now: float
+        self, reports: collections.abc.Iterable[Suspicion], now: float
     ) -> None:
-        """Add what another gateway knows, or a new observation."""
-        changes = [self._merge(one, now) for one in told]
+        """Merge reports of another gateway, or a new observation."""
+        changes = [self._merge(report, now) for report in reports]
         if any(changes):
-            self._judge()
+            self._update_held()
 
     def prune(self, now: float) -> None:
-        """Drop what was long ago, and the oldest of too many."""
-        old = [
+        """Drop expired records, and the oldest if there are too many."""
+        expired = [
             digest
             for digest, record in self._records.items()
             if now - record.changed_at > RECORD_LIFE_S
         ]
-        excess = len(self._records) - len(old) - _MOST_RECORDS
+        excess = len(self._records) - len(expired) - _MAX_RECORDS
         if excess > 0:
             by_age = sorted(
                 (digest in self._held, record.changed_at, digest)
                 for digest, record in self._records.items()
             )
-            old += [digest for _, _, digest in by_age[:excess]]
-        for digest in old:
+            expired += [digest for _, _, digest in by_age[:excess]]
+        for digest in expired:
             self._records.pop(digest, None)
-        if old:
-            self._judge()
+        if expired:
+            self._update_held()
 
-    def _merge(self, told: Suspicion, now: float) -> bool:
-        """Take a record; return whether it tells something new."""
-        if told.age > RECORD_LIFE_S:
+    def _merge(self, report: Suspicion, now: float) -> bool:
+        """Merge a report; return whether it changes the record."""
+        if report.age > RECORD_LIFE_S:
             return False
-        changed_at = now - max(0.0, told.age)
-        record = self._records.get(told.digest)
+        changed_at = now - max(0.0, report.age)
+        record = self._records.get(report.digest)
         if record is None:
             record = _Record(set(), changed_at, now)
-            self._records[told.digest] = record
-        room = _MOST_ENDS - len(record.ends)
-        new = sorted(set(told.ends) - record.ends)[:room]
-        if not new and record.cleared >= told.cleared:
+            self._records[report.digest] = record
+        room = _MAX_ENDS - len(record.ends)
+        new = sorted(set(report.ends) - record.ends)[:room]
+        if not new and record.cleared >= report.cleared:
             return False
         record.ends.update(new)
-        record.cleared |= told.cleared
+        record.cleared |= report.cleared
         record.changed_at = max(record.changed_at, changed_at)
-        record.learnt_at = now
+        record.updated_at = now
         return True
 
-    def _judge(self) -> None:
-        """Find who is held: who explains most ends comes first."""
+    def _update_held(self) -> None:
+        """Determine the held requests; those with most ends come first."""
         suspects = sorted(
             (
                 (digest, record.ends)
@@ -227,14 +230,17 @@
         explained: set[int] = set()
         held = set()
         for digest, ends in suspects:
-            own = ends - explained
-            if len(own) < END_THRESHOLD:
+            unexplained = ends - explained
+            if len(unexplained) < END_THRESHOLD:
                 continue
-            alike = len(set.intersection(*(by_end[end] for end in own))) > 1
-            if alike and len(own) < _ENDS_SURELY:
+            is_ambiguous = (
+                len(set.intersection(*(by_end[end] for end in unexplained)))
+                > 1
+            )
+            if is_ambiguous and len(unexplained) < _CERTAIN_END_THRESHOLD:
                 continue
             held.add(digest)
-            if not alike:
+            if not is_ambiguous:
                 explained |= ends
         self._held = frozenset(held)
 
--- a/galenahatch/test/test_decisions.py
+++ b/galenahatch/test/test_decisions.py
@@ -794,10 +794,10 @@
     members.add_row(ids.MemberId('a'), 1, _place(1), 0.0)
     members.add_row(ids.MemberId('b'), 1, _place(21), 0.0)
     members.record_message(
-        ids.MemberId('a'), 0.1, False, incarnation=5, order=_place(22)
+        ids.MemberId('a'), 0.1, False, incarnation=5, rank=_place(22)
     )
     members.record_message(
-        ids.MemberId('b'), 0.1, False, incarnation=6, order=_place(21)
+        ids.MemberId('b'), 0.1, False, incarnation=6, rank=_place(21)
     )
     assert members.owner(False, 0.2) == 'b'
     members.add_row(ids.MemberId('a'), 1, _place(1), 0.2)
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -311,7 +311,7 @@
         known.add_row(name(member), 1, versions.Version(1, number), 0.0)
         known.record_message(name(member), 0.0, False, incarnation=1)
     known.record_message(name('a'), 0.1, False, incarnation=2)
-    known.record_message(name('b'), 0.1, order=versions.Version(2, 6))
+    known.record_message(name('b'), 0.1, rank=versions.Version(2, 6))
     assert known.by_rank() == ['b', 'c', 'd', 'a']
     for number, member in enumerate('abc', 5):
         known.add_row(name(member), 1, versions.Version(2, number), 0.2)
@@ -322,8 +322,8 @@
         'removed'
     )
     assert known.unlisted_since(0.2) == ['d']
-    known.record_message(name('b'), 0.3, order=versions.Version(1, 90))
-    known.record_message(name('a'), 0.3, order=versions.Version(2, 5))
+    known.record_message(name('b'), 0.3, rank=versions.Version(1, 90))
+    known.record_message(name('a'), 0.3, rank=versions.Version(2, 5))
     assert known.by_rank() == ['a', 'b', 'c', 'd'], 'its own word counts'
     known.add_row(name('d'), 1, versions.Version(2, 8), 0.4)
     assert not known.unlisted_since(9.0)
