--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -294,12 +294,12 @@
     def reconcile_runs(
         self,
         entry: ids.MemberId,
-        held: typing.Iterable[tuple[ids.UpstreamId, memory.Run]],
+        runs: typing.Iterable[tuple[ids.UpstreamId, memory.Run]],
         now: float,
     ) -> None:
         """Add, confirm and remove runs by a VM's complete list of them."""
         reported = set()
-        for engine, run in held:
+        for engine, run in runs:
             reported.add(run.stream)
             decode = self._pool.decodes.get(engine)
             if decode is not None and run.stream not in decode.memory.runs:
@@ -361,30 +361,30 @@
             if prefill is None and not job.is_prefilled:
                 return generations.Lack.PREFILL
             return generations.Lack.MEMORY
-        chosen = [e.upstream.id for e in (prefill, decode) if e is not None]
-        if not self._limiter.acquire_all(chosen, now):
+        targets = [e.upstream.id for e in (prefill, decode) if e is not None]
+        if not self._limiter.acquire_all(targets, now):
             return generations.Lack.MEMORY
-        return self._placed(job, prefill, decode, ready_at, now)
+        return self._record_placement(job, prefill, decode, ready_at, now)
 
-    def _placed(
+    def _record_placement(
         self,
         job: Job,
         prefill: modelengines.PrefillEngine | None,
         decode: modelengines.DecodeEngine,
-        ready: float,
+        ready_at: float,
         now: float,
     ) -> generations.Placed:
         """Record the placement of a request."""
-        chosen = prefill.upstream.id if prefill is not None else None
+        prefill_id = prefill.upstream.id if prefill is not None else None
         self._retries.record_placement(job.fingerprint)
         self._estimator.record_placement(now)
-        decode.memory.add(job.make_run(ready))
+        decode.memory.add(job.make_run(ready_at))
         decode.health.record_run(now)
         placement = placements.Placement(
             decode.upstream.id,
             0 if job.is_continuation else job.output_hint,
             now,
-            chosen,
+            prefill_id,
             now,
             is_suspect=job.is_suspect,
         )
@@ -406,7 +406,7 @@
             f'runs={len(decode.memory.runs)} '
             f'waited={now - job.arrived_at:.3f} queue={len(self._queue)}'
         )
-        return generations.Placed(job, chosen, decode.upstream.id, why)
+        return generations.Placed(job, prefill_id, decode.upstream.id, why)
 
     # Runs.
 
--- a/galenahatch/core/forecast.py
+++ b/galenahatch/core/forecast.py
@@ -92,16 +92,16 @@
         runs = self._pool.concurrent_runs(
             self._estimator.mean_held_tokens, current.output
         )
-        life = current.output * self._pool.mean_pace_at_batch(
+        lifetime = current.output * self._pool.mean_pace_at_batch(
             runs, current.pace
         )
-        life += self._estimator.prefill_seconds(round(current.prompt))
+        lifetime += self._estimator.prefill_seconds(round(current.prompt))
         decode_prefill_seconds = decodeprefill.mean_prefill_seconds(
             self._estimator
         )
         return [
             stages.RequestCost(
-                prefill_seconds, life / runs, decode_prefill_seconds
+                prefill_seconds, lifetime / runs, decode_prefill_seconds
             )
             for prefill_seconds in self._estimator.prefill_busy_range()
         ]
@@ -158,8 +158,8 @@
                 it.
             now: Monotonic time in seconds.
         """
-        late = dataclasses.replace(job, is_committed=True, is_late=True)
-        ahead = len(self._queue.jobs_ahead(late, now))
+        late_job = dataclasses.replace(job, is_committed=True, is_late=True)
+        ahead = len(self._queue.jobs_ahead(late_job, now))
         # A retry is expected, so it reserves no slot for other retries.
         ahead += 1 if job.is_retry else reserved
         rate = self._late_rate(job, now)
@@ -239,7 +239,7 @@
         """Return whether a request and all before it fit into memory now."""
         if len(ahead) > MAX_JOBS_CHECKED:
             return False
-        added = []
+        trial_runs = []
         try:
             for candidate in (*ahead, job):
                 run = candidate.make_run(
@@ -251,8 +251,8 @@
                 if engine is None:
                     return False
                 engine.memory.add(run)
-                added.append((engine, run))
+                trial_runs.append((engine, run))
             return True
         finally:
-            for engine, run in added:
+            for engine, run in trial_runs:
                 engine.memory.discard(run.stream)
--- a/galenahatch/core/members.py
+++ b/galenahatch/core/members.py
@@ -183,9 +183,9 @@
         member.unlisted_at = min(member.unlisted_at, now)
         return True
 
-    def unlisted_since(self, moment: float) -> list[ids.MemberId]:
+    def unlisted_since(self, time: float) -> list[ids.MemberId]:
         """Return members that have had no row since a time."""
-        return [n for n, m in self.by_name.items() if m.unlisted_at <= moment]
+        return [n for n, m in self.by_name.items() if m.unlisted_at <= time]
 
     def remove(self, name: ids.MemberId) -> bool:
         """Remove a member whose row is gone; return whether it was known."""
--- a/galenahatch/core/memory.py
+++ b/galenahatch/core/memory.py
@@ -193,24 +193,24 @@
         known_tokens += sum(tokens for _, tokens in self._ended_runs)
         self.unknown_tokens = max(0.0, used - known_tokens)
 
-    def peak_usage(self, added: Run, now: float) -> float:
+    def peak_usage(self, candidate: Run, now: float) -> float:
         """Return the highest predicted usage with one more run."""
         spans = [self._lifespan(run, now) for run in self._runs.values()]
-        spans.append(self._lifespan(added, now))
+        spans.append(self._lifespan(candidate, now))
         pace = self.pace
         highest = self.unknown_tokens
-        for _, moment, _ in spans:
+        for _, time, _ in spans:
             used = self.unknown_tokens
             for start, end, prompt in spans:
-                if start <= moment <= end:
-                    used += prompt + (moment - start) / pace
-                elif start > moment:
+                if start <= time <= end:
+                    used += prompt + (time - start) / pace
+                elif start > time:
                     # It holds its prompt from its admission.
                     used += prompt
             highest = max(highest, used)
         return highest
 
-    def fits(self, added: Run, now: float) -> bool:
+    def fits(self, candidate: Run, now: float) -> bool:
         """Return whether one more run fits."""
         if len(self._runs) >= self.slots:
             return False
@@ -219,7 +219,7 @@
             return True
         # Check cheap bounds first: an owner decides a few hundred times a
         # second over all engines, and the peak takes quadratic time.
-        runs = (*self._runs.values(), added)
+        runs = (*self._runs.values(), candidate)
         usable = self.capacity - safety_margin(runs, self.spread)
         upper = self.unknown_tokens + sum(
             run.prompt_tokens
@@ -234,12 +234,12 @@
         lower = self.unknown_tokens + sum(run.prompt_tokens for run in runs)
         if lower > usable:
             return False
-        return self.peak_usage(added, now) <= usable
+        return self.peak_usage(candidate, now) <= usable
 
     def load(self, now: float) -> float:
         """Return the fraction of the memory that is used now."""
-        held = sum(self._held_tokens(run, now) for run in self._runs.values())
-        return (held + self.unknown_tokens) / max(1, self.capacity)
+        used = sum(self._held_tokens(run, now) for run in self._runs.values())
+        return (used + self.unknown_tokens) / max(1, self.capacity)
 
     def _lifespan(self, run: Run, now: float) -> tuple[float, float, int]:
         """Return the start, predicted end and prompt tokens of a run."""
--- a/galenahatch/core/modelengines.py
+++ b/galenahatch/core/modelengines.py
@@ -235,12 +235,12 @@
         idle_at = previous - line.delay
         begun_at = now - line.seconds(tokens)
         lost_fraction = (begun_at - idle_at) / line.delay
-        has_waited = (
+        was_queued = (
             begun_at - max(placed_at, idle_at)
             > _IMMEDIATE_FRACTION * line.delay
         )
         # A prompt begun on arrival can only lower the estimate.
-        return lost_fraction if has_waited else min(lost_fraction, alone)
+        return lost_fraction if was_queued else min(lost_fraction, alone)
 
 
 class DecodeEngine:
--- a/galenahatch/core/placements.py
+++ b/galenahatch/core/placements.py
@@ -105,8 +105,8 @@
         for placement in on_trial
         if placement.prefill is not None and placement.prefilled_at is None
     }
-    free = set(decodes) - trial_decodes
-    if trial_decodes and not free:
+    free_decodes = set(decodes) - trial_decodes
+    if trial_decodes and not free_decodes:
         return None
     if (
         trial_prefills
@@ -115,6 +115,6 @@
     ):
         return None
     avoid = job.avoid | trial_decodes | trial_prefills
-    if not free - job.avoid:
-        avoid -= free
+    if not free_decodes - job.avoid:
+        avoid -= free_decodes
     return dataclasses.replace(job, avoid=avoid)
--- a/galenahatch/core/pool.py
+++ b/galenahatch/core/pool.py
@@ -224,9 +224,9 @@
         self, engine: ids.UpstreamId, now: float, unreachable: bool = False
     ) -> None:
         """Record that an engine failed a request."""
-        found = self.prefills.get(engine) or self.decodes.get(engine)
-        if found is not None:
-            found.health.record_failure(now, unreachable)
+        state = self.prefills.get(engine) or self.decodes.get(engine)
+        if state is not None:
+            state.health.record_failure(now, unreachable)
 
     def record_first_event(self, engine: ids.UpstreamId | None) -> None:
         """Record that an engine took part in a run's first event."""
@@ -238,9 +238,9 @@
 
     def record_transfer(self, engine: ids.UpstreamId) -> None:
         """Record that a prefill engine's result was transferred."""
-        found = self.prefills.get(engine)
-        if found is not None:
-            found.health.record_success()
+        state = self.prefills.get(engine)
+        if state is not None:
+            state.health.record_success()
 
     def mean_pace(self, default: float) -> float:
         """Return the mean seconds for a token."""
@@ -266,17 +266,17 @@
         now: float,
     ) -> None:
         """Record how long a prefill engine took to read a prompt."""
-        found = self.prefills.get(engine)
-        if found is not None:
-            found.record_result(stream, seconds, now)
+        state = self.prefills.get(engine)
+        if state is not None:
+            state.record_result(stream, seconds, now)
 
     def cancel_prefill(
         self, engine: ids.UpstreamId, stream: ids.StreamId
     ) -> None:
         """Record that a prefill engine no longer reads for a stream."""
-        found = self.prefills.get(engine)
-        if found is not None:
-            found.pending.pop(stream, None)
+        state = self.prefills.get(engine)
+        if state is not None:
+            state.pending.pop(stream, None)
 
     def record_overlap(
         self,
@@ -288,10 +288,10 @@
         now: float,
     ) -> float | None:
         """Record a result; see `PrefillEngine.record_overlap`."""
-        found = self.prefills.get(engine)
-        if found is None:
+        state = self.prefills.get(engine)
+        if state is None:
             return None
-        return found.record_overlap(placed_at, tokens, line, alone, now)
+        return state.record_overlap(placed_at, tokens, line, alone, now)
 
     @property
     def paced_tokens(self) -> int:
@@ -379,12 +379,14 @@
         Engines that failed recently are used only if there is no other;
         unreachable or paused ones not even then.
         """
-        free = [
+        unpaused = [
             engine
             for engine in self.decodes.values()
             if not job.is_paused(engine.upstream.id, now)
         ]
-        usable = [e for e in free if e.upstream.id not in job.avoid] or free
+        usable = [
+            e for e in unpaused if e.upstream.id not in job.avoid
+        ] or unpaused
         healthy = [e for e in usable if e.health.suspended_until <= now]
         return healthy or [e for e in usable if not e.health.unreachable]
 
--- a/galenahatch/core/quarantine.py
+++ b/galenahatch/core/quarantine.py
@@ -153,10 +153,10 @@
         reported = dict.fromkeys(
             digest for _, _, digest in recent[:_MAX_REPORTS]
         )
-        rest = list(self._records)
-        while rest and len(reported) < min(_MAX_REPORTS, len(rest)):
-            self._next_report = (self._next_report + 1) % len(rest)
-            reported[rest[self._next_report]] = None
+        digests = list(self._records)
+        while digests and len(reported) < min(_MAX_REPORTS, len(digests)):
+            self._next_report = (self._next_report + 1) % len(digests)
+            reported[digests[self._next_report]] = None
         return [self._suspicion(digest, now) for digest in reported]
 
     def persistent_records(self, now: float) -> list[Suspicion]:
@@ -204,10 +204,10 @@
             record = _Record(set(), changed_at, now)
             self._records[report.digest] = record
         room = _MAX_ENDS - len(record.ends)
-        new = sorted(set(report.ends) - record.ends)[:room]
-        if not new and record.cleared >= report.cleared:
+        new_ends = sorted(set(report.ends) - record.ends)[:room]
+        if not new_ends and record.cleared >= report.cleared:
             return False
-        record.ends.update(new)
+        record.ends.update(new_ends)
         record.cleared |= report.cleared
         record.changed_at = max(record.changed_at, changed_at)
         record.updated_at = now
