--- a/galenahatch/gateway/entries.py
+++ b/galenahatch/gateway/entries.py
@@ -213,7 +213,7 @@
         current = self._version
         if version < current:
             _log.info(
-                'Ignored an outdated list of upstreams.',
+                'Ignored outdated upstream entries.',
                 rows=len(rows),
                 era=version.era,
                 ver=version.number,
--- a/galenahatch/gateway/lease.py
+++ b/galenahatch/gateway/lease.py
@@ -50,7 +50,7 @@
 _log = logs.Log('lease')
 
 
-def fencing_number(version: versions.Version) -> int:
+def fencing_token(version: versions.Version) -> int:
     """Return the fencing token of a version; it increases with the version."""
     return (version.era << _VERSION_BITS) + version.number
 
@@ -166,7 +166,7 @@
         if written is None:
             _log.warning('Could not acquire the lease.', holder=self._own_id)
             return None
-        fence = fencing_number(written)
+        fence = fencing_token(written)
         _log.info('Lease taken.', holder=self._own_id, fence=fence)
         return fence
 
