--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -49,7 +49,6 @@
 """A resumable stream that is silent for this multiple of its route's longest
 pause moves to another engine. Callers disconnect after eight such pauses."""
 _MAX_PLACEMENTS: typing.Final = 6
-"""Maximum number of placements per request."""
 _RETRY_AFTER_S: typing.Final = 0.3
 _log = logs.Log('generation')
 
@@ -142,10 +141,8 @@
                 )
             if self._means.guard.is_blocked(self._call):
                 return self._quarantined()
-            max_attempts = self._route.max_attempts
-            if not self._sends.may_send(
-                self._route.is_repeatable, max_attempts
-            ):
+            limit = self._route.max_attempts
+            if not self._sends.may_send(self._route.is_repeatable, limit):
                 break
         return self._failure()
 
@@ -162,9 +159,7 @@
             estimated_output=max(0, estimated - generated),
             max_output=max_output,
             start_by=self._call.arrived_at + self._route.latency_objective,
-            caller_leaves_at=contexts.abandonment_time(
-                self._call, self._route
-            ),
+            abandon_at=contexts.abandonment_time(self._call, self._route),
             deadline=self._deadline,
             last_block_id=self._prompt.last_block_id,
             avoid=tuple(self._avoid),
@@ -182,10 +177,8 @@
     def _token_counts(self) -> tuple[int, int]:
         """Return the tokens to prefill and the limit on remaining output."""
         output = self._relay.event_count * self._spec.event_tokens
-        max_output = max(
-            self._spec.event_tokens, self._prompt.max_output - output
-        )
-        return self._prompt.tokens + output, max_output
+        limit = max(self._spec.event_tokens, self._prompt.max_output - output)
+        return self._prompt.tokens + output, limit
 
     async def _attempt(
         self, stream: ids.StreamId, placement: messages.Placement
@@ -193,18 +186,15 @@
         find = self._means.directory.registry.find
         release = messages.Release(stream, self._service.name)
         try:
-            prefiller = find(placement.prefill)
+            engine = find(placement.prefill)
             decoder = find(placement.decode)
             if decoder is None or not self._takes_work(decoder):
                 return prefill.Retry(placement.decode, 'decode engine gone')
-            if prefiller is not None:
+            if engine is not None:
                 self._stage = 'prefill'
                 started_at = clock.now()
                 retry = await self._prefill.run(
-                    stream,
-                    prefiller,
-                    self._relay.last_event_id,
-                    self._deadline,
+                    stream, engine, self._relay.last_event_id, self._deadline
                 )
                 self._spent.read += clock.now() - started_at
                 if retry is not None:
@@ -339,7 +329,6 @@
         engine: upstreams.Upstream,
         response: senders.Response,
     ) -> contexts.CompleteAnswer | errors.Failure | prefill.Retry | None:
-        """Relay a response until it ends."""
         head = response.head
         if head.status >= 300 or head.is_encoded or not head.is_signed:
             body = await response.body()
@@ -406,19 +395,15 @@
             raise StreamBroken(failure.detail)
         return failure
 
-    def _rejected(
-        self, rejection: messages.PlacementRefused
-    ) -> errors.Failure:
+    def _rejected(self, refusal: messages.PlacementRefused) -> errors.Failure:
         if self._relay.has_reached_caller:
-            raise StreamBroken(rejection.reason)
+            raise StreamBroken(refusal.reason)
         if not self._sends.cannot_have_run:
-            return errors.Failure(errors.SEND_INTERRUPTED, rejection.reason)
-        if rejection.is_over_quota:
-            return accounts.quota_failure(
-                rejection.reason, rejection.retry_after
-            )
+            return errors.Failure(errors.SEND_INTERRUPTED, refusal.reason)
+        if refusal.is_over_quota:
+            return accounts.quota_failure(refusal.reason, refusal.retry_after)
         return contexts.retryable_failure(
-            errors.NO_TIME, rejection.reason, rejection.retry_after
+            errors.NO_TIME, refusal.reason, refusal.retry_after
         )
 
     def _failure(self) -> errors.Failure:
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -127,7 +127,7 @@
         self._links: dict[ids.MemberId, bus.Link[frames.AnyMessage]] = {}
         self._peers: dict[ids.MemberId, bus.Peer] = {}
         self._member_ids: dict[bus.Peer, ids.MemberId] = {}
-        self._update_requester = updates.UpdateRequester(directory)
+        self._updates = updates.UpdateRequester(directory)
         self._started_at = clock.now()
         self._owner = ids.MemberId('')
         self.me = ids.MemberId(address)
@@ -138,7 +138,7 @@
         self.figures: collections.abc.Callable[
             [], tuple[records.Figures, ...]
         ] = tuple
-        self._hub = bus.Hub(f'tcp://{address}:{port}', CODEC, self._from_hub)
+        self._hub = bus.Hub(f'tcp://{address}:{port}', CODEC, self._on_hub)
         self._connect_exchanges()
 
     def _connect_exchanges(self) -> None:
@@ -302,11 +302,11 @@
             link = self._links[name] = bus.Link(
                 f'tcp://{member.address}:{member.port}',
                 CODEC,
-                lambda message: self._from_link(name, message),
+                lambda message: self._on_link(name, message),
             )
         return link
 
-    def _from_hub(self, peer: bus.Peer, message: frames.AnyMessage) -> None:
+    def _on_hub(self, peer: bus.Peer, message: frames.AnyMessage) -> None:
         if isinstance(message, messages.Heartbeat):
             self._record_peer(message.member, peer)
             self._record_heartbeat(message.member, message)
@@ -345,9 +345,7 @@
         if name is not None:
             self._dispatch(name, message, self.reply)
 
-    def _from_link(
-        self, name: ids.MemberId, message: frames.AnyMessage
-    ) -> None:
+    def _on_link(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
         if isinstance(message, messages.HeartbeatReply):
             self._record_heartbeat(name, message)
             self._members.set_reported_size(message.member_count)
@@ -367,15 +365,13 @@
         name: ids.MemberId,
         heartbeat: messages.Heartbeat | messages.HeartbeatReply,
     ) -> None:
-        """Record the state of a member."""
         order = messages.order_version(heartbeat)
         self._roster.add_versions(order, messages.upstreams_version(heartbeat))
         self._members.record_message(
             name, clock.now(), heartbeat.leaving, heartbeat.incarnation, order
         )
         delivers_changes = (
-            heartbeat.reaches_store
-            and self._update_requester.is_current(heartbeat)
+            heartbeat.reaches_store and self._updates.is_current(heartbeat)
         )
         self._members.set_follows_store(name, delivers_changes)
 
@@ -422,7 +418,7 @@
         self, heartbeat: messages.Heartbeat | messages.HeartbeatReply
     ) -> None:
         """Request newer data from a member that has it."""
-        request = self._update_requester.request_for(heartbeat)
+        request = self._updates.request_for(heartbeat)
         if request is None:
             return
         if isinstance(heartbeat, messages.Heartbeat):
--- a/galenahatch/gateway/owner_client.py
+++ b/galenahatch/gateway/owner_client.py
@@ -66,7 +66,7 @@
     estimated_output: int
     max_output: int
     start_by: float
-    caller_leaves_at: float
+    abandon_at: float
     deadline: float
     last_block_id: str
     avoid: tuple[ids.UpstreamId, ...] = ()
@@ -197,7 +197,7 @@
             avoid=request.avoid,
             is_continuation=request.is_resumed,
             is_prefilled=request.is_prefilled,
-            leave_within=request.caller_leaves_at - now,
+            leave_within=request.abandon_at - now,
             longest_pause=request.longest_pause,
             attempt=request.attempt,
             extra_sends=request.extra_sends,
