--- a/galenahatch/core/stages.py
+++ b/galenahatch/core/stages.py
@@ -145,8 +145,8 @@
         Args:
             costs: Possible costs of one request; a change has to pay off for
                 each.
-            prefills: Prefill engines, in the order in which to give them up.
-            decodes: Decode engines, in the order in which to give them up.
+            prefills: Prefill engines, the most idle first.
+            decodes: Decode engines, the most idle first.
             is_calm: Whether no request has waited recently.
             is_prefill_late: Whether requests have waited for prefill engines
                 recently. Otherwise no decode engine is given up: it is missed
