--- a/galenahatch/gateway/context.py
+++ b/galenahatch/gateway/context.py
@@ -52,7 +52,7 @@
     sender: senders.Sender
     balancer: balance.Balancer
     budget: retrybudget.LocalBudget
-    ownership: owner_client.OwnerClient
+    owner_client: owner_client.OwnerClient
     guard: quarantine.Guard
     accounts: accounts_module.Accounts
     rate_limits: ratelimits.RateLimits
--- a/galenahatch/gateway/frontend.py
+++ b/galenahatch/gateway/frontend.py
@@ -91,11 +91,11 @@
     """Serves callers.
 
     Args:
-        means: Components that the request handlers share.
+        context: Components that the request handlers share.
     """
 
-    def __init__(self, means: contexts.Context) -> None:
-        self._means = means
+    def __init__(self, context: contexts.Context) -> None:
+        self._context = context
         self._in_flight = 0
         self._stream_durations: collections.deque[float] = collections.deque(
             maxlen=_DURATION_SAMPLES
@@ -151,7 +151,7 @@
 
     def limits(self) -> routes.Limits:
         """Return the configured limits, or the defaults."""
-        config = self._means.directory.config
+        config = self._context.directory.config
         return config.limits if config is not None else routes.Limits()
 
     def close_if_draining(self, response: web.StreamResponse) -> None:
@@ -161,7 +161,7 @@
 
     async def ready(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer the load balancer's readiness probe."""
-        is_ready = self._means.directory.ready and not self.is_draining
+        is_ready = self._context.directory.ready and not self.is_draining
         return web.Response(status=200 if is_ready else 503)
 
     async def metrics(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -209,12 +209,14 @@
     async def _route_request(
         self, request: web.BaseRequest, call: calls.Call
     ) -> web.StreamResponse:
-        if not self._means.directory.ready:
+        if not self._context.directory.ready:
             failure = contexts.retryable_failure(
                 errors.NO_CONFIGURATION, '', _RETRY_AFTER_S
             )
             return self._error_response(failure, call.id)
-        route = self._means.directory.route_table.find(call.host, call.target)
+        route = self._context.directory.route_table.find(
+            call.host, call.target
+        )
         if route is None:
             return self._error_response(
                 errors.Failure(errors.NO_ROUTE), call.id
@@ -228,7 +230,7 @@
         self, call: calls.Call, route: routes.Route
     ) -> calls.Call | errors.Failure:
         """Authenticate the caller; return the request with its customer."""
-        config = self._means.directory.config
+        config = self._context.directory.config
         if config is None or config.customers is None:
             return call
         customer = customers.authenticate(
@@ -241,14 +243,14 @@
     async def _dispatch(
         self, request: web.BaseRequest, call: calls.Call, route: routes.Route
     ) -> web.StreamResponse:
-        if self._means.guard.is_blocked(call):
-            failure = self._means.guard.failure(call)
+        if self._context.guard.is_blocked(call):
+            failure = self._context.guard.failure(call)
             return self._respond(call, route, failure)
-        too_large = self._means.accounts.check_size(call)
+        too_large = self._context.accounts.check_size(call)
         if too_large is not None:
             return self._respond(call, route, too_large)
         name = routes.pick_service(route, clock.RANDOM)
-        service = self._means.directory.service(name)
+        service = self._context.directory.service(name)
         if (
             service is not None
             and service.engine is not None
@@ -268,17 +270,17 @@
         self, call: calls.Call, route: routes.Route, service: ids.ServiceName
     ) -> contexts.CompleteAnswer | errors.Failure:
         """Run a plain call if its customer's quota allows it."""
-        denied = self._means.accounts.charge(call)
+        denied = self._context.accounts.charge(call)
         if denied is not None:
             return denied
         result = await plain.RequestHandler(
-            self._means, call, route, service
+            self._context, call, route, service
         ).run()
         if (
             isinstance(result, errors.Failure)
             and result.outcome is errors.Outcome.NOT_RUN
         ):
-            self._means.accounts.refund(call)
+            self._context.accounts.refund(call)
         return result
 
     async def _generate(
@@ -295,7 +297,7 @@
             return self._respond(call, route, failure)
         sink = _StreamSink(request, self)
         handler = generation.RequestHandler(
-            self._means, call, route, service, sink
+            self._context, call, route, service, sink
         )
         try:
             result = await handler.run()
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -62,14 +62,14 @@
 
     def __init__(
         self,
-        means: contexts.Context,
+        context: contexts.Context,
         call: calls.Call,
         route: routes.Route,
         service: routes.Service,
         sink: contexts.Sink,
     ) -> None:
         assert call.prompt is not None and service.engine is not None
-        self._means = means
+        self._context = context
         self._call = call
         self._route = route
         self._service = service
@@ -87,7 +87,7 @@
         self._decode_engine = ids.UpstreamId('')
         self._ran_past_start = False
         self._was_placed = False
-        self._prefill = prefill.Prefill(means, call, service)
+        self._prefill = prefill.Prefill(context, call, service)
 
     async def run(self) -> contexts.CompleteAnswer | errors.Failure | None:
         """Serve the request; return None if its stream was relayed completely.
@@ -113,9 +113,11 @@
 
     def _refund_quota(self, failure: errors.Failure) -> None:
         """Refund the customer's quota if the request was not executed."""
-        units = self._call.quota_units
-        if units and failure.outcome is errors.Outcome.NOT_RUN:
-            self._means.ownership.refund_units(self._call.customer_name, units)
+        cost = self._call.quota_units
+        if cost and failure.outcome is errors.Outcome.NOT_RUN:
+            self._context.owner_client.refund_units(
+                self._call.customer_name, cost
+            )
 
     async def _run(self) -> contexts.CompleteAnswer | errors.Failure | None:
         for attempt in range(1, _MAX_PLACEMENTS + 1):
@@ -125,7 +127,7 @@
             self._stage = 'waiting'
             started_at = clock.now()
             request = self._placement_request(stream, attempt)
-            placement = await self._means.ownership.place(request)
+            placement = await self._context.owner_client.place(request)
             self._spent.waited += clock.now() - started_at
             if isinstance(placement, messages.PlacementRefused):
                 return self._rejected(placement)
@@ -136,10 +138,10 @@
             self._detail = result.detail
             self._avoid += {result.avoid, *result.at_fault}
             if result.disconnected is not None and not self._ran_past_start:
-                await self._means.guard.record_cut(
+                await self._context.guard.record_cut(
                     self._call, result.disconnected
                 )
-            if self._means.guard.is_blocked(self._call):
+            if self._context.guard.is_blocked(self._call):
                 return self._quarantined()
             limit = self._route.max_attempts
             if not self._sends.may_send(self._route.is_repeatable, limit):
@@ -168,7 +170,7 @@
             longest_pause=self._route.max_event_gap,
             attempt=attempt,
             extra_sends=self._prefill.extra_sends() + (self._decode_sends > 0),
-            is_suspect=self._means.guard.is_suspect(self._call),
+            is_suspect=self._context.guard.is_suspect(self._call),
             customer=self._call.customer_name,
             quota_units=self._call.quota_units if attempt == 1 else 0.0,
             priority=contexts.priority(self._call, self._route),
@@ -183,7 +185,7 @@
     async def _attempt(
         self, stream: ids.StreamId, placement: messages.Placement
     ) -> contexts.CompleteAnswer | errors.Failure | prefill.Retry | None:
-        find = self._means.directory.registry.find
+        find = self._context.directory.registry.find
         release = messages.Release(stream, self._service.name)
         try:
             engine = find(placement.prefill)
@@ -206,11 +208,11 @@
             if isinstance(result, prefill.Retry):
                 release = self._failed_release(release, result)
             elif result is None:
-                self._means.guard.record_completion(self._call)
+                self._context.guard.record_completion(self._call)
                 release = self._final_release(release)
             return result
         finally:
-            self._means.ownership.release(release)
+            self._context.owner_client.release(release)
 
     def _takes_work(self, upstream: upstreams.Upstream) -> bool:
         """Return whether the request may still be sent to an upstream.
@@ -218,10 +220,10 @@
         Another gateway may have quarantined the request in the meantime, or
         the upstream may have asked this gateway to pause.
         """
-        paused = self._means.notices.pause_seconds_left(upstream.id)
-        if paused or self._means.guard.is_blocked(self._call):
+        paused = self._context.notices.pause_seconds_left(upstream.id)
+        if paused or self._context.guard.is_blocked(self._call):
             return False
-        registry = self._means.directory.registry
+        registry = self._context.directory.registry
         return registry.accepts_work(upstream.id, clock.now())
 
     def _failed_release(
@@ -260,7 +262,7 @@
         running = messages.RunningGeneration(
             stream, self._service.name, engine.id, prompt, output, limit, -1.0
         )
-        self._means.ownership.track_running(running, self._generated_tokens)
+        self._context.owner_client.track_running(running, self._output_tokens)
         time_left = contexts.seconds_until(self._deadline)
         options = calls.ForwardingOptions(
             engine.id,
@@ -273,7 +275,7 @@
         self._sent_at = clock.now()
         send_fate = fate.Fate.UNCERTAIN
         try:
-            response = await self._means.sender.send(
+            response = await self._context.sender.send(
                 engine,
                 self._call,
                 wire.outgoing(self._call, options),
@@ -293,7 +295,7 @@
             # A send that did not reach the engine costs no retry budget.
             self._decode_sends += send_fate is not fate.Fate.NOT_SENT
 
-    def _generated_tokens(self) -> int:
+    def _output_tokens(self) -> int:
         """Return the number of tokens generated in the current run."""
         return self._relay.run_event_count * self._spec.event_tokens
 
@@ -370,7 +372,7 @@
             if not has_begun:
                 has_begun = True
                 self._spent.made = self._relay.run_started_at - self._sent_at
-                self._means.ownership.report_started(stream)
+                self._context.owner_client.report_started(stream)
             await self._relay.forward(response.head, events)
 
     def _on_broken(
@@ -390,7 +392,7 @@
         )
 
     def _quarantined(self) -> errors.Failure:
-        failure = self._means.guard.failure(self._call)
+        failure = self._context.guard.failure(self._call)
         if self._relay.has_reached_caller:
             raise StreamBroken(failure.detail)
         return failure
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -130,7 +130,7 @@
         self._accounts = accounts_module.Accounts(
             self._directory, bounds.quota
         )
-        self._ownership = owner_client.OwnerClient(
+        self._owner_client = owner_client.OwnerClient(
             self._directory,
             settings.data_centre,
             self._grants,
@@ -168,7 +168,7 @@
         self._orders = orders.Orders(
             self._store,
             self._mesh,
-            self._ownership.owner,
+            self._owner_client.owner,
             self._directory,
             self._sender,
             self._notices,
@@ -189,7 +189,7 @@
         ):
             self._rate_limits.handle_message(member, message)
         else:
-            self._ownership.handle_message(member, message)
+            self._owner_client.handle_message(member, message)
 
     def _record_answer(
         self,
@@ -215,11 +215,11 @@
         """Start the background tasks."""
         self._directory.run()
         self._mesh.run()
-        self._ownership.start(self._mesh, self._background_tasks)
+        self._owner_client.start(self._mesh, self._background_tasks)
         reports.ReportPoller(
             self._directory,
             self._mesh,
-            self._ownership.owner,
+            self._owner_client.owner,
             self._sender,
             self._rate_limits.limiter,
             self._notices,
@@ -229,13 +229,13 @@
 
     async def _listen(self) -> None:
         settings = self._settings
-        self._front = frontend.HttpFrontend(
+        self._frontend = frontend.HttpFrontend(
             contexts.Context(
                 directory=self._directory,
                 sender=self._sender,
                 balancer=self._balancer,
                 budget=self._budget,
-                ownership=self._ownership,
+                owner_client=self._owner_client,
                 guard=self._guard,
                 accounts=self._accounts,
                 rate_limits=self._rate_limits,
@@ -243,10 +243,10 @@
                 tasks=self._background_tasks,
             )
         )
-        limits = self._front.limits
-        self._callers = connections.Server(self._front.handle, limits)
-        probes = connections.Server(self._front.ready, limits)
-        metrics = connections.Server(self._front.metrics, limits)
+        limits = self._frontend.limits
+        self._callers = connections.Server(self._frontend.handle, limits)
+        probes = connections.Server(self._frontend.ready, limits)
+        metrics = connections.Server(self._frontend.metrics, limits)
         metrics_address = settings_module.Address(
             settings.address, METRICS_PORT
         )
@@ -303,23 +303,23 @@
         """Finish requests in flight, then close."""
         began_at = clock.now()
         exit_at = began_at + self._settings.bounds.grace - _EXIT_MARGIN_S
-        self._front.drain(began_at + _BALANCER_DRAIN_S, exit_at)
+        self._frontend.drain(began_at + _BALANCER_DRAIN_S, exit_at)
         self._mesh.leaving = True
-        self._ownership.owner.decline_all()
-        _log.info('Stopping.', in_flight=self._front.in_flight)
+        self._owner_client.owner.decline_all()
+        _log.info('Stopping.', in_flight=self._frontend.in_flight)
         await self._wait_for_balancer(exit_at)
         while clock.now() < exit_at:
             refuse_new = clock.now() > exit_at - _NO_NEW_CALLERS_S
             if (
                 await self._callers.drain(refuse_new)
-                and not self._front.in_flight
+                and not self._frontend.in_flight
             ):
                 break
             await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
         self._callers.stop_listening()
         _log.info(
             'Stopped.',
-            in_flight=self._front.in_flight,
+            in_flight=self._frontend.in_flight,
             connections=len(self._callers.connections),
             seconds=clock.now() - began_at,
         )
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -60,12 +60,12 @@
 
     def __init__(
         self,
-        means: contexts.Context,
+        context: contexts.Context,
         call: calls.Call,
         route: routes.Route,
         service: ids.ServiceName,
     ) -> None:
-        self._means = means
+        self._context = context
         self._call = call
         self._route = route
         self._service = service
@@ -80,7 +80,9 @@
 
     async def run(self) -> contexts.CompleteAnswer | errors.Failure:
         """Return the response for the caller, or why there is none."""
-        self._means.budget.record_request(self._service, self._call.arrived_at)
+        self._context.budget.record_request(
+            self._service, self._call.arrived_at
+        )
         attempts = 0
         while self._may_try(attempts):
             upstream = await self._choose()
@@ -92,9 +94,9 @@
             if response is not None:
                 return response
             if attempt.failure is not None and attempt.failure.is_disconnect:
-                await self._means.guard.record_cut(self._call, upstream)
-            if self._means.guard.is_blocked(self._call):
-                return self._means.guard.failure(self._call)
+                await self._context.guard.record_cut(self._call, upstream)
+            if self._context.guard.is_blocked(self._call):
+                return self._context.guard.failure(self._call)
         return self._error_response or self._failure()
 
     def _may_try(self, attempts: int) -> bool:
@@ -106,16 +108,18 @@
             return False
         if not attempts:
             return True
-        return self._means.budget.spend(self._service, clock.now())
+        return self._context.budget.spend(self._service, clock.now())
 
     async def _choose(self) -> upstreams.Upstream | None:
         """Return an upstream that accepts a request now, or None."""
         self._rate_limited.clear()
         while True:
             now = clock.now()
-            usable = self._means.directory.registry.usable(self._service, now)
+            usable = self._context.directory.registry.usable(
+                self._service, now
+            )
             self._paused = self._paused_among(usable)
-            chosen = self._means.balancer.choose(
+            chosen = self._context.balancer.choose(
                 usable,
                 self._avoid | self._rate_limited.keys() | self._paused.keys(),
                 now,
@@ -123,7 +127,7 @@
             )
             if chosen is None:
                 break
-            wait = await self._means.rate_limits.acquire(chosen.id)
+            wait = await self._context.rate_limits.acquire(chosen.id)
             if not wait and self._takes_work(chosen.id):
                 return chosen
             self._rate_limited[chosen.id] = wait
@@ -138,12 +142,12 @@
         self, usable: collections.abc.Iterable[upstreams.Upstream]
     ) -> dict[ids.UpstreamId, float]:
         """Return the upstreams that asked for a pause, and its seconds."""
-        paused = self._means.notices.pauses_left()
+        paused = self._context.notices.pauses_left()
         return {u.id: paused[u.id] for u in usable if u.id in paused}
 
     def _takes_work(self, upstream: ids.UpstreamId) -> bool:
         """Return whether an upstream still accepts work."""
-        registry = self._means.directory.registry
+        registry = self._context.directory.registry
         return registry.accepts_work(upstream, clock.now())
 
     async def _send(self, upstream: upstreams.Upstream) -> _Attempt:
@@ -156,12 +160,12 @@
         headers = wire.outgoing(
             self._call, calls.ForwardingOptions(upstream.id, time_left)
         )
-        self._means.balancer.begin(upstream.id)
+        self._context.balancer.begin(upstream.id)
         self._sends.begin()
         started_at = clock.now()
         attempt = _Attempt(upstream.id, None, None)
         try:
-            response = await self._means.sender.send(
+            response = await self._context.sender.send(
                 upstream,
                 self._call,
                 headers,
@@ -187,7 +191,7 @@
     ) -> None:
         """Record a send that was cancelled because the caller left."""
         self._sends.end(fate.Fate.UNCERTAIN)
-        self._means.balancer.cancel(upstream)
+        self._context.balancer.cancel(upstream)
         _log.info(
             'Caller disconnected.',
             request=self._call.id,
@@ -244,10 +248,12 @@
     ) -> None:
         now = clock.now()
         if head is not None and head.load is not None:
-            self._means.balancer.record_load(attempt.upstream, head.load, now)
+            self._context.balancer.record_load(
+                attempt.upstream, head.load, now
+            )
         is_success = failure is None and head is not None and head.status < 500
-        registry = self._means.directory.registry
-        is_ejected = self._means.balancer.end(
+        registry = self._context.directory.registry
+        is_ejected = self._context.balancer.end(
             attempt.upstream,
             is_success,
             registry.usable(self._service, now),
@@ -258,7 +264,7 @@
         _log.warning(
             'Upstream ejected.' if is_ejected else 'Upstream readmitted.',
             upstream=attempt.upstream,
-            share=self._means.balancer.outliers.share(
+            share=self._context.balancer.outliers.share(
                 attempt.upstream, now
             ).likely,
         )
@@ -275,7 +281,7 @@
             return None
         if response.head.status < 300:
             # An upstream may return an error without executing the request.
-            self._means.guard.record_completion(self._call)
+            self._context.guard.record_completion(self._call)
         if response.head.status in _NOT_EXECUTED_STATUSES:
             # The request was executed, but this status denies it.
             self._detail = f'status {response.head.status} after execution'
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -72,12 +72,12 @@
 
     def __init__(
         self,
-        means: contexts.Context,
+        context: contexts.Context,
         call: calls.Call,
         service: routes.Service,
     ) -> None:
         assert call.prompt is not None and service.engine is not None
-        self._means = means
+        self._context = context
         self._call = call
         self._service = service.name
         self._ttl = service.engine.handle_ttl
@@ -116,11 +116,11 @@
         engines (`extra_sends`).
         """
         started_at = clock.now()
-        if not self._means.directory.registry.accepts_work(
+        if not self._context.directory.registry.accepts_work(
             engine.id, started_at
         ):
             return Retry(engine.id, 'prefill engine gone')
-        if self._means.notices.pause_seconds_left(engine.id):
+        if self._context.notices.pause_seconds_left(engine.id):
             return Retry(engine.id, 'prefill engine asked for a pause')
         response = await self._send(engine, last_event_id, deadline)
         if isinstance(response, senders.FailedSend):
@@ -134,7 +134,7 @@
         if isinstance(result, errors.Failure):
             return Retry(engine.id, result.detail, (engine.id,))
         self._store_handle(engine, result.handle)
-        self._means.ownership.report_prefilled(
+        self._context.owner_client.report_prefilled(
             stream, self._service, self._tokens, clock.now() - started_at
         )
         return None
@@ -171,7 +171,7 @@
             last_event_id=last_event_id,
             priority=self._call.priority,
         )
-        return await self._means.sender.send(
+        return await self._context.sender.send(
             engine,
             self._call,
             wire.outgoing(self._call, options),
@@ -190,7 +190,7 @@
         """Delete a result that will not be fetched."""
         kv_source = self.kv_source()
         self._kv_source = ''
-        if not kv_source or self._means.notices.pause_seconds_left(
+        if not kv_source or self._context.notices.pause_seconds_left(
             self.engine
         ):
             # If the engine has asked for a pause, the handle just expires.
@@ -198,7 +198,7 @@
         address, _, handle = kv_source.partition('/')
 
         async def delete_handle() -> None:
-            reply = await self._means.sender.request_small(
+            reply = await self._context.sender.request_small(
                 'DELETE',
                 address,
                 engines.handle_path(handle),
@@ -212,4 +212,4 @@
                     detail=reply.detail,
                 )
 
-        self._means.tasks.once(delete_handle())
+        self._context.tasks.once(delete_handle())
