--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -21,7 +21,7 @@
 from galenahatch.core import generations
 from galenahatch.core import pool as pools
 from galenahatch.core import ratelimits
-from galenahatch.core import rebalancing as divisions
+from galenahatch.core import rebalancing
 from galenahatch.core import retryafter as returns_module
 from galenahatch.core import waitqueue
 
@@ -43,7 +43,7 @@
         queue: Waiting requests.
         forecast: Predictor of queue waits.
         returns: Callers that were told when to retry.
-        division: Division of the engines, notified of shortages.
+        rebalancer: Plans stage changes; notified of refusals.
         limiter: Limiter for engines that announce a request rate.
     """
 
@@ -53,14 +53,14 @@
         queue: waitqueue.WaitQueue,
         forecast: forecasts.Forecast,
         returns: returns_module.RetrySchedule,
-        division: divisions.Rebalancer,
+        rebalancer: rebalancing.Rebalancer,
         limiter: ratelimits.Limiter,
     ) -> None:
         self._pool = pool
         self._queue = queue
         self._forecast = forecast
         self._returns = returns
-        self._division = division
+        self._rebalancer = rebalancer
         self._limiter = limiter
 
     def _engine_limit_wait(
@@ -129,7 +129,7 @@
 
     def refuse(self, job: Job, reason: str, now: float) -> generations.Refused:
         """Refuse a request and tell its caller when to retry."""
-        self._division.record_refusal(now)
+        self._rebalancer.record_refusal(now)
         service_rate = self._forecast.service_rate()
         queue_wait = len(self._queue) / service_rate if service_rate else 0.0
         # Callers told to retry after their own deadline do not retry.
--- a/galenahatch/core/dispatch.py
+++ b/galenahatch/core/dispatch.py
@@ -41,7 +41,7 @@
 from galenahatch.core import placements
 from galenahatch.core import pool
 from galenahatch.core import ratelimits
-from galenahatch.core import rebalancing as divisions
+from galenahatch.core import rebalancing
 from galenahatch.core import retryafter
 from galenahatch.core import upstreams
 from galenahatch.core import waitqueue
@@ -81,7 +81,7 @@
         self._forecast = forecast.Forecast(
             self._pool, self._estimator, self._queue
         )
-        self._rebalancer = divisions.Rebalancer(
+        self._rebalancer = rebalancing.Rebalancer(
             self._pool, self._estimator, self._forecast
         )
         self._admission = admission.Admission(
@@ -110,7 +110,7 @@
         return self._pool
 
     @property
-    def rebalancer(self) -> divisions.Rebalancer:
+    def rebalancer(self) -> rebalancing.Rebalancer:
         """Planner of the engines' stages."""
         return self._rebalancer
 
