--- a/galenahatch/gateway/connections.py
+++ b/galenahatch/gateway/connections.py
@@ -79,8 +79,8 @@
     """Accepts callers' connections and applies the configured limits.
 
     Args:
-        handler: function that answers a request.
-        limits: function that returns the limits of a new connection.
+        handler: Function that answers a request.
+        limits: Function that returns the limits of a new connection.
     """
 
     def __init__(
@@ -126,7 +126,7 @@
         refused a connection, and so know that nothing was sent.
 
         Args:
-            refuse_new: whether to stop accepting even while callers are
+            refuse_new: Whether to stop accepting even while callers are
                 connected.
 
         Returns:
--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -49,11 +49,11 @@
     """Configuration and upstreams in force on this VM.
 
     Args:
-        store: the platform's store.
-        background: runner of background tasks.
-        drain: seconds after the removal of an upstream within which requests
+        store: The platform's store.
+        background: Runner of background tasks.
+        drain: Seconds after the removal of an upstream within which requests
             to it must stop.
-        heartbeat: seconds between two writes of an upstream's entry.
+        heartbeat: Seconds between two writes of an upstream's entry.
     """
 
     def __init__(
--- a/galenahatch/gateway/entries.py
+++ b/galenahatch/gateway/entries.py
@@ -49,9 +49,9 @@
     """An entry as it is in the store.
 
     Attributes:
-        number: version number of its last change, in the newest era.
-        document: its value; None once it has been removed.
-        since: version number at which it was added; 0 if that was not seen.
+        number: Version number of its last change, in the newest era.
+        document: Its value; None once it has been removed.
+        since: Version number at which it was added; 0 if that was not seen.
     """
 
     number: int = 0
@@ -63,14 +63,14 @@
     """Upstreams according to their entries in the store.
 
     Args:
-        drain: seconds after the removal of an upstream within which requests
+        drain: Seconds after the removal of an upstream within which requests
             to it must stop.
-        heartbeat: seconds between two writes of an entry.
-        on_change: callback after each change.
+        heartbeat: Seconds between two writes of an entry.
+        on_change: Callback after each change.
 
     Attributes:
-        registry: the upstreams.
-        on_restart: callback with each restarted upstream.
+        registry: The upstreams.
+        on_restart: Callback with each restarted upstream.
     """
 
     def __init__(
@@ -103,8 +103,8 @@
         rows, and the peer drops entries that are not among them.
 
         Args:
-            request: versions that the peer has.
-            config: compressed configuration to include; empty if the peer
+            request: Versions that the peer has.
+            config: Compressed configuration to include; empty if the peer
                 has it.
         """
         peer_version = messages.upstreams_version(request)
--- a/galenahatch/gateway/follower.py
+++ b/galenahatch/gateway/follower.py
@@ -64,7 +64,7 @@
     """Coordinates the retries of a gateway's feeds during a store outage.
 
     Attributes:
-        max_retry_delay: function that returns the most seconds between two
+        max_retry_delay: Function that returns the most seconds between two
             probes.
     """
 
@@ -108,16 +108,16 @@
     """Follows the changes of one table of the store.
 
     Args:
-        store: store to read.
-        outage: state shared by all feeds of the gateway.
-        table: name of the table.
-        on_all_rows: callback with all rows after a full read.
-        on_changed_rows: callback with the rows that changed.
-        batch_delay: seconds to wait before the next call after changes.
-        is_idle: whether peers deliver the changes, so that no call is needed.
+        store: Store to read.
+        outage: State shared by all feeds of the gateway.
+        table: Name of the table.
+        on_all_rows: Callback with all rows after a full read.
+        on_changed_rows: Callback with the rows that changed.
+        batch_delay: Seconds to wait before the next call after changes.
+        is_idle: Whether peers deliver the changes, so that no call is needed.
 
     Attributes:
-        last_answer_at: time of the last successful call.
+        last_answer_at: Time of the last successful call.
     """
 
     def __init__(
--- a/galenahatch/gateway/lease.py
+++ b/galenahatch/gateway/lease.py
@@ -86,9 +86,9 @@
     """Value of the lease's row.
 
     Attributes:
-        holder: gateway that holds the lease; empty if there is none.
-        until_ms: time of expiry in milliseconds, by the store's clock.
-        era: era of the store in which the row was written.
+        holder: Gateway that holds the lease; empty if there is none.
+        until_ms: Time of expiry in milliseconds, by the store's clock.
+        era: Era of the store in which the row was written.
     """
 
     holder: str
@@ -117,9 +117,9 @@
     """Acquires the lease for one gateway.
 
     Args:
-        store: store with the lease's row.
-        own_id: id of this gateway.
-        fencing_interval: seconds required between orders of two holders.
+        store: Store with the lease's row.
+        own_id: Id of this gateway.
+        fencing_interval: Seconds required between orders of two holders.
     """
 
     def __init__(
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -67,11 +67,11 @@
     """Components whose state gateways exchange in heartbeats.
 
     Attributes:
-        outcomes: results of sends to plain upstreams.
-        guard: requests that may end upstreams.
-        accounts: use of quotas by customers.
-        rate_limits: limits that upstreams announce.
-        notices: other announcements in answers of upstreams.
+        outcomes: Results of sends to plain upstreams.
+        guard: Requests that may end upstreams.
+        accounts: Use of quotas by customers.
+        rate_limits: Limits that upstreams announce.
+        notices: Other announcements in answers of upstreams.
     """
 
     outcomes: outcomes.OutcomeExchange
@@ -85,14 +85,14 @@
     """The members, and connections to the owner and its candidates.
 
     Args:
-        store: the platform's store.
+        store: The platform's store.
         address: IP address of this VM.
-        port: port for connections of other gateways.
-        data_centre: data centre of this VM.
-        directory: local copy of the configuration and upstreams.
-        exchanges: components whose state is exchanged.
-        handler: function called with the sender and message.
-        background: runner of background tasks.
+        port: Port for connections of other gateways.
+        data_centre: Data centre of this VM.
+        directory: Local copy of the configuration and upstreams.
+        exchanges: Components whose state is exchanged.
+        handler: Function called with the sender and message.
+        background: Runner of background tasks.
     """
 
     def __init__(
--- a/galenahatch/gateway/messages.py
+++ b/galenahatch/gateway/messages.py
@@ -37,11 +37,11 @@
     """A generation that is running on a decode engine.
 
     Attributes:
-        prompt_tokens: tokens of its prompt.
-        expected_tokens: predicted tokens of its answer.
-        max_tokens: upper limit of the tokens of its answer.
-        first_event_age: seconds since its first event; negative until then.
-        tokens_generated: tokens that its engine has generated so far.
+        prompt_tokens: Tokens of its prompt.
+        expected_tokens: Predicted tokens of its answer.
+        max_tokens: Upper limit of the tokens of its answer.
+        first_event_age: Seconds since its first event; negative until then.
+        tokens_generated: Tokens that its engine has generated so far.
     """
 
     stream: ids.StreamId
@@ -66,9 +66,9 @@
     """State of a request that may end upstreams.
 
     Attributes:
-        ends: numbers of the upstreams that ended while processing it.
-        age: seconds since the last such end, or since it was cleared.
-        cleared: whether it has run to completion.
+        ends: Numbers of the upstreams that ended while processing it.
+        age: Seconds since the last such end, or since it was cleared.
+        cleared: Whether it has run to completion.
     """
 
     digest: ids.RequestDigest
@@ -95,22 +95,22 @@
     """A heartbeat, with the state of its sender.
 
     Attributes:
-        member: sender of the message.
-        incarnation: random number of the sender's process.
-        config_version: version of the sender's configuration.
-        upstreams_version: version of the store as of which the sender knows
+        member: Sender of the message.
+        incarnation: Random number of the sender's process.
+        config_version: Version of the sender's configuration.
+        upstreams_version: Version of the store as of which the sender knows
             upstreams.
-        leaving: whether the sender is stopping.
-        running: generations that the sender is running.
-        outcomes: results of the sender's sends since its last heartbeat.
-        order: version of the sender's row in the store; 0 until it has one.
-        reaches_store: whether the sender follows the store.
-        suspicions: recently changed ones, and some of the others in turn.
-        used: use of customers' quotas since the last heartbeat.
-        rate_limits: limits that upstreams announce or have recently lifted.
-        leaving_upstreams: upstreams whose answers recently announced this.
-        era: era of `upstreams_version`.
-        order_era: era of `order`.
+        leaving: Whether the sender is stopping.
+        running: Generations that the sender is running.
+        outcomes: Results of the sender's sends since its last heartbeat.
+        order: Version of the sender's row in the store; 0 until it has one.
+        reaches_store: Whether the sender follows the store.
+        suspicions: Recently changed ones, and some of the others in turn.
+        used: Use of customers' quotas since the last heartbeat.
+        rate_limits: Limits that upstreams announce or have recently lifted.
+        leaving_upstreams: Upstreams whose answers recently announced this.
+        era: Era of `upstreams_version`.
+        order_era: Era of `order`.
     """
 
     member: ids.MemberId
@@ -134,10 +134,10 @@
     """Reply to a heartbeat; other fields have the same meaning there.
 
     Attributes:
-        member_count: number of gateways that the sender knows.
-        figures: measurements of each service that the sender decides for.
-        outcomes: results of sends of all gateways that send it heartbeats.
-        low_quotas: levels of customers whose quota is nearly used up.
+        member_count: Number of gateways that the sender knows.
+        figures: Measurements of each service that the sender decides for.
+        outcomes: Results of sends of all gateways that send it heartbeats.
+        low_quotas: Levels of customers whose quota is nearly used up.
     """
 
     member: ids.MemberId
@@ -163,18 +163,18 @@
 
     Attributes:
         length_hint: caller's estimate of the answer's tokens; 0 for none.
-        is_prefilled: whether a prefill engine holds the prompt's KV cache.
-        first_event_within: seconds until the first event must be generated.
-        end_within: seconds until the answer must be complete.
-        leave_within: seconds until a caller without a first event gives up.
-        longest_pause: most seconds allowed between two events.
-        attempt: number of this attempt of the request, from 1.
-        extra_sends: sends beyond the first that will be made if it is placed.
-        is_suspect: whether an engine recently ended while processing it.
-        customer: customer whose quota is charged; may be empty.
-        units: units of the quota that are charged.
-        priority: priority of the request; 0 is the most urgent.
-        pauses: pauses that engines have requested from the sender.
+        is_prefilled: Whether a prefill engine holds the prompt's KV cache.
+        first_event_within: Seconds until the first event must be generated.
+        end_within: Seconds until the answer must be complete.
+        leave_within: Seconds until a caller without a first event gives up.
+        longest_pause: Most seconds allowed between two events.
+        attempt: Number of this attempt of the request, from 1.
+        extra_sends: Sends beyond the first that will be made if it is placed.
+        is_suspect: Whether an engine recently ended while processing it.
+        customer: Customer whose quota is charged; may be empty.
+        units: Units of the quota that are charged.
+        priority: Priority of the request; 0 is the most urgent.
+        pauses: Pauses that engines have requested from the sender.
     """
 
     stream: ids.StreamId
@@ -211,8 +211,8 @@
     """Assigns engines to a generation.
 
     Attributes:
-        prefill: prefill engine; empty if the decode engine does the prefill.
-        expected_tokens: predicted tokens of the answer.
+        prefill: Prefill engine; empty if the decode engine does the prefill.
+        expected_tokens: Predicted tokens of the answer.
     """
 
     stream: ids.StreamId
@@ -226,8 +226,8 @@
     """Refuses a placement request for lack of capacity or quota.
 
     Attributes:
-        retry_after: seconds after which the caller may retry.
-        is_over_quota: whether the customer's quota is used up.
+        retry_after: Seconds after which the caller may retry.
+        is_over_quota: Whether the customer's quota is used up.
     """
 
     stream: ids.StreamId
@@ -268,11 +268,11 @@
     """Releases the engines of a generation that has ended.
 
     Attributes:
-        tokens: tokens of the answer; 0 if it was interrupted.
-        seconds: seconds from the first to the last event.
-        failed: engines that may have caused a failure.
-        unreachable: engine that could not be reached, or empty.
-        kv_source: prefill engine whose KV cache was transferred, or empty.
+        tokens: Tokens of the answer; 0 if it was interrupted.
+        seconds: Seconds from the first to the last event.
+        failed: Engines that may have caused a failure.
+        unreachable: Engine that could not be reached, or empty.
+        kv_source: Prefill engine whose KV cache was transferred, or empty.
     """
 
     stream: ids.StreamId
@@ -319,8 +319,8 @@
     """Requests permission for one request to a rate-limited upstream.
 
     Attributes:
-        number: number of this message, which the reply repeats.
-        limit: rate limit known to the sender; a new owner may not know it.
+        number: Number of this message, which the reply repeats.
+        limit: Rate limit known to the sender; a new owner may not know it.
     """
 
     member: ids.MemberId
@@ -332,7 +332,7 @@
     """Reply to `PermitRequest`.
 
     Attributes:
-        wait: seconds until there is capacity; 0 if the request may be sent.
+        wait: Seconds until there is capacity; 0 if the request may be sent.
     """
 
     number: int
@@ -365,7 +365,7 @@
     """Requests data newer than the sender's versions.
 
     Attributes:
-        era: era of `upstreams_version`.
+        era: Era of `upstreams_version`.
     """
 
     config_version: int
@@ -377,8 +377,8 @@
     """An upstream's row in the store.
 
     Attributes:
-        version: version of the store at the last change.
-        document: value of the row; empty if it was removed.
+        version: Version of the store at the last change.
+        document: Value of the row; empty if it was removed.
     """
 
     key: str
@@ -390,12 +390,12 @@
     """Reply to `UpdateRequest` with newer data.
 
     Attributes:
-        config: compressed configuration; empty if the receiver's is current.
-        after: version of the store after which rows are included.
-        upstreams_version: version of the store as of which rows are included.
-        rows: upstreams that changed in between.
-        is_complete: whether these are all rows; others have been removed.
-        era: era of both versions; of `after` only if not complete.
+        config: Compressed configuration; empty if the receiver's is current.
+        after: Version of the store after which rows are included.
+        upstreams_version: Version of the store as of which rows are included.
+        rows: Upstreams that changed in between.
+        is_complete: Whether these are all rows; others have been removed.
+        era: Era of both versions; of `after` only if not complete.
     """
 
     config: bytes
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -79,8 +79,8 @@
     """The gateway as a service.
 
     Args:
-        settings: settings of this process.
-        settings_path: path of the settings file.
+        settings: Settings of this process.
+        settings_path: Path of the settings file.
     """
 
     def __init__(
--- a/galenahatch/gateway/notices.py
+++ b/galenahatch/gateway/notices.py
@@ -46,11 +46,11 @@
     """Notices in answers to this gateway and to others.
 
     Args:
-        directory: list of upstreams, in which those that leave are marked.
+        directory: List of upstreams, in which those that leave are marked.
 
     Attributes:
-        pauses: pauses that upstreams have requested from this gateway.
-        tell_owner: function that sends a message to the owner and the
+        pauses: Pauses that upstreams have requested from this gateway.
+        tell_owner: Function that sends a message to the owner and the
             candidates to succeed it.
     """
 
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -62,14 +62,14 @@
     """Sends orders to engines.
 
     Args:
-        store: store with the lease.
+        store: Store with the lease.
         mesh: membership, which determines the owner.
         owner: decisions, which determine the engines that should change.
         directory: services, with the duration of a change.
-        sender: sender of calls to engines.
-        notices: pauses that engines have requested.
-        lease: seconds required between orders of two holders.
-        background: runner of background tasks.
+        sender: Sender of calls to engines.
+        notices: Pauses that engines have requested.
+        lease: Seconds required between orders of two holders.
+        background: Runner of background tasks.
     """
 
     def __init__(
--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -56,8 +56,8 @@
     """Value of a request's row in the store.
 
     Attributes:
-        ends: numbers of the upstreams that ended while processing it.
-        released: whether it ran to completion or an operator released it.
+        ends: Numbers of the upstreams that ended while processing it.
+        released: Whether it ran to completion or an operator released it.
     """
 
     ends: tuple[int, ...] = ()
@@ -78,11 +78,11 @@
 
     Args:
         sender: sender, which checks whether an upstream still listens.
-        store: store for lasting entries.
-        table: table of their rows.
+        store: Store for lasting entries.
+        table: Table of their rows.
 
     Attributes:
-        announce: function that sends changes to other gateways at once, since
+        announce: Function that sends changes to other gateways at once, since
             heartbeats are infrequent with many gateways.
     """
 
@@ -218,7 +218,7 @@
         """Discard expired entries, and store lasting ones.
 
         Args:
-            is_owner: function that returns whether this gateway is the owner,
+            is_owner: Function that returns whether this gateway is the owner,
                 which writes rows.
         """
         while True:
--- a/galenahatch/gateway/records.py
+++ b/galenahatch/gateway/records.py
@@ -21,8 +21,8 @@
     """Rate limit that an upstream has announced.
 
     Attributes:
-        rate: requests per second; None if the limit was lifted.
-        age: seconds since the announcement.
+        rate: Requests per second; None if the limit was lifted.
+        age: Seconds since the announcement.
     """
 
     upstream: ids.UpstreamId
@@ -34,16 +34,16 @@
     """Measurements of a service by its owner, from which a new owner starts.
 
     Attributes:
-        rate: prompt tokens per second of a prefill engine.
-        prompt: mean number of tokens of a prompt.
-        output: mean number of tokens of an answer.
-        pace: seconds per output token.
-        seen: number of requests measured.
-        delay: seconds of a prefill besides processing the prompt.
-        alone: part of the delay in which the engine processes no other prompt.
-        reads: number of prefills measured.
-        slack: seconds from the end of a prefill to the first event.
-        pairs: number of prompts that showed whether the engine had processed
+        rate: Prompt tokens per second of a prefill engine.
+        prompt: Mean number of tokens of a prompt.
+        output: Mean number of tokens of an answer.
+        pace: Seconds per output token.
+        seen: Number of requests measured.
+        delay: Seconds of a prefill besides processing the prompt.
+        alone: Part of the delay in which the engine processes no other prompt.
+        reads: Number of prefills measured.
+        slack: Seconds from the end of a prefill to the first event.
+        pairs: Number of prompts that showed whether the engine had processed
             another one within the delay.
     """
 
@@ -64,7 +64,7 @@
     """A pause that an engine has requested from the sending gateway.
 
     Attributes:
-        seconds_left: seconds until the pause ends.
+        seconds_left: Seconds until the pause ends.
     """
 
     upstream: ids.UpstreamId
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -86,17 +86,17 @@
     """Reads and writes the rows of members.
 
     Args:
-        store: the platform's store.
-        outage: state of store outages, shared by all feeds of this gateway.
-        own_id: id of this member.
-        own_row: row that this member writes.
-        on_removal: callback with each member that is dropped.
-        begin_snapshot: callback before the rows of a full list.
-        on_other_row: callback with each row that is not a member's.
+        store: The platform's store.
+        outage: State of store outages, shared by all feeds of this gateway.
+        own_id: Id of this member.
+        own_row: Row that this member writes.
+        on_removal: Callback with each member that is dropped.
+        begin_snapshot: Callback before the rows of a full list.
+        on_other_row: Callback with each row that is not a member's.
 
     Attributes:
-        members: all known members.
-        feed: feed of the table of members.
+        members: All known members.
+        feed: Feed of the table of members.
     """
 
     def __init__(
@@ -158,8 +158,8 @@
         """Record the versions that a member announces.
 
         Args:
-            order: version of the member's row.
-            upstreams: version as of which the member knows upstreams.
+            order: Version of the member's row.
+            upstreams: Version as of which the member knows upstreams.
         """
         restored = versions.Version(upstreams.era, 0)
         self._newest_announced = max(self._newest_announced, order, restored)
@@ -244,7 +244,7 @@
         """Drop members without a row, and remove the row of a silent member.
 
         Args:
-            is_owner: whether this member is the owner, which removes rows.
+            is_owner: Whether this member is the owner, which removes rows.
         """
         now = clock.now()
         for name in self.members.unlisted_since(now - _REJOIN_TIMEOUT_S):
--- a/galenahatch/gateway/settings.py
+++ b/galenahatch/gateway/settings.py
@@ -39,15 +39,15 @@
     """Limits that the deployment guarantees to its users.
 
     Attributes:
-        drain: time from the announcement that an upstream is leaving until it
+        drain: Time from the announcement that an upstream is leaving until it
             gets no new work.
-        grace: time from SIGTERM to SIGKILL.
-        retry_ratio: extra sends allowed per request of a service.
-        retry_reserve: further extra sends allowed in any window, for all VMs.
-        retry_window: length of that window.
-        lease: lifetime of the lease on orders, and the interval required
+        grace: Time from SIGTERM to SIGKILL.
+        retry_ratio: Extra sends allowed per request of a service.
+        retry_reserve: Further extra sends allowed in any window, for all VMs.
+        retry_window: Length of that window.
+        lease: Lifetime of the lease on orders, and the interval required
             between orders of two holders.
-        quota: limits on the overshoot of customers' quotas.
+        quota: Limits on the overshoot of customers' quotas.
     """
 
     drain: float = 2.0
@@ -64,15 +64,15 @@
     """Settings of one gateway process.
 
     Attributes:
-        name: name of the VM.
+        name: Name of the VM.
         address: IP address of the VM.
-        data_centre: data centre of the VM.
-        front: address for connections of callers.
-        readiness: address for readiness checks of the load balancer.
-        peer_port: port for connections of other gateways.
-        store: address of the platform's store.
-        bounds: limits that the deployment guarantees.
-        heartbeat: time between two writes of an upstream's entry to the store.
+        data_centre: Data centre of the VM.
+        front: Address for connections of callers.
+        readiness: Address for readiness checks of the load balancer.
+        peer_port: Port for connections of other gateways.
+        store: Address of the platform's store.
+        bounds: Limits that the deployment guarantees.
+        heartbeat: Time between two writes of an upstream's entry to the store.
     """
 
     name: str
--- a/galenahatch/gateway/updates.py
+++ b/galenahatch/gateway/updates.py
@@ -29,7 +29,7 @@
     """Decides when to request an update from a peer.
 
     Args:
-        directory: local copy of the configuration and upstreams.
+        directory: Local copy of the configuration and upstreams.
     """
 
     def __init__(self, directory: directories.Directory) -> None:
