--- a/galenahatch/core/admission.py
+++ b/galenahatch/core/admission.py
@@ -22,7 +22,7 @@
 from galenahatch.core import pool as pools
 from galenahatch.core import ratelimits
 from galenahatch.core import rebalancing
-from galenahatch.core import retryafter as returns_module
+from galenahatch.core import retryafter
 from galenahatch.core import waitqueue
 
 _WAIT_SAFETY_FACTOR: typing.Final = 1.3
@@ -42,7 +42,7 @@
         pool: Engines of the service.
         queue: Waiting requests.
         forecast: Predictor of queue waits.
-        returns: Callers that were told when to retry.
+        retries: Callers that were told when to retry.
         rebalancer: Plans stage changes; notified of refusals.
         limiter: Limiter for engines that announce a request rate.
     """
@@ -52,14 +52,14 @@
         pool: pools.Pool,
         queue: waitqueue.WaitQueue,
         forecast: forecasts.Forecast,
-        returns: returns_module.RetrySchedule,
+        retries: retryafter.RetrySchedule,
         rebalancer: rebalancing.Rebalancer,
         limiter: ratelimits.Limiter,
     ) -> None:
         self._pool = pool
         self._queue = queue
         self._forecast = forecast
-        self._returns = returns
+        self._retries = retries
         self._rebalancer = rebalancer
         self._limiter = limiter
 
@@ -89,7 +89,7 @@
 
     def is_limited(self, job: Job, now: float) -> bool:
         """Return whether engine limits delay a job past its start time."""
-        wait = self._engine_limit_wait(job, self._returns.due_count(now), now)
+        wait = self._engine_limit_wait(job, self._retries.due_count(now), now)
         return wait > 0 and now + wait > job.start_deadline
 
     def queue_or_refuse(
@@ -117,7 +117,7 @@
         """
         if self.is_limited(job, now):
             return self.refuse(job, 'engines_hold_back', now)
-        promised = 1 + self._returns.due_count(now)
+        promised = 1 + self._retries.due_count(now)
         late_wait = self._forecast.predict_late_wait(job, promised, now)
         is_too_late = now + late_wait > job.abandon_at
         if is_too_late and not self._queue.take_probe(job, now):
@@ -136,14 +136,14 @@
         limit_wait = max(
             self._engine_limit_wait(job, 0, now),
             min(
-                self._engine_limit_wait(job, self._returns.outstanding, now),
+                self._engine_limit_wait(job, self._retries.outstanding, now),
                 job.deadline - now,
             ),
         )
         queue_wait = max(
             queue_wait, self._pool.seconds_to_next_trial(now), limit_wait
         )
-        wait = self._returns.schedule(
+        wait = self._retries.schedule(
             job.fingerprint,
             self._forecast.spare_rate(now),
             queue_wait,
