--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -118,9 +118,9 @@
         urgency=states.Urgency(number % 3),
         prompt_tokens=1000,
         output_tokens=200,
-        patience=1e6,
+        first_token_timeout=1e6,
         blocks=tuple(range(8)),
-        avoid=(),
+        avoided_engines=(),
         data_centre=ids.DataCentre('dc0'),
     )
 
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -293,9 +293,9 @@
             urgency=urgency if uses.urgency else states.Urgency.NORMAL,
             prompt_tokens=arrival.tokens,
             output_tokens=arrival.kind.output,
-            patience=left if uses.shedding else _UNSHED_PATIENCE,
+            first_token_timeout=left if uses.shedding else _UNSHED_PATIENCE,
             blocks=arrival.blocks if uses.cache else (),
-            avoid=(),
+            avoided_engines=(),
             data_centre=self._fleet.centre_of_entry(arrival.entry),
             ticket=arrival.ticket,
         )
--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -333,7 +333,7 @@
         if self._spent and not self._first_at:
             metrics.prefill_wasted.add(self._spent)
         release = messages.Release(
-            self._stream, failed=self._failed, note=cause
+            self._stream, failed_engine=self._failed, note=cause
         )
 
         def then() -> None:
--- a/galenahatch/claiming.py
+++ b/galenahatch/claiming.py
@@ -252,7 +252,7 @@
         attempt = 0
         while True:
             reply = await self._ask(claimed.key, message, _REPLY_SECONDS)
-            if isinstance(reply, messages.VoidReply) and reply.gone:
+            if isinstance(reply, messages.VoidReply) and reply.removed:
                 break
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
@@ -312,8 +312,8 @@
             token=record.token,
             holder=record.holder,
             incarnation=record.incarnation,
-            asker=self._peers.member,
-            claimed=claim.encode(record),
+            requester=self._peers.member,
+            record=claim.encode(record),
         )
         future = self._queries.get(record.token)
         if future is None:
@@ -353,13 +353,13 @@
             None: states.HolderState.FORGOTTEN,
         }
         if hold is claim.Hold.ABANDONED:
-            record = claim.decode(query.claimed)
+            record = claim.decode(query.record)
             if isinstance(record, claim.Record):
                 self._void(Claimed(query.key, record))
         answer = self._holdings.answer(query.token)
         body = msgspec.msgpack.encode(answer) if answer else b''
         reply = messages.ClaimAnswer(
-            query.token, query.asker, known[hold], body
+            query.token, query.requester, known[hold], body
         )
         self._peers.broadcast(reply)
 
--- a/galenahatch/core/cell.py
+++ b/galenahatch/core/cell.py
@@ -240,8 +240,8 @@
         if reservation is None:
             self.cancel(message.stream)
             return
-        if message.failed is not None:
-            self.record_failure(message.failed, now)
+        if message.failed_engine is not None:
+            self.record_failure(message.failed_engine, now)
             return
         self._record_completion(reservation, message, now)
 
@@ -268,7 +268,7 @@
         tokens = request.prompt_tokens
         cost = self._waits.prefill_cost(tokens)
         first_token_delay = self._waits.min_first_token_delay(tokens)
-        start_by = now + request.patience - cost - first_token_delay
+        start_by = now + request.first_token_timeout - cost - first_token_delay
         has_ticket = self._tickets.redeem(request.ticket, now)
         if has_ticket:
             share = _TICKET_WEIGHT
@@ -314,7 +314,7 @@
             block_count=len(request.blocks),
             hits=self._prefix_index.hits(request.blocks, now),
             data_centre=request.data_centre,
-            avoid=frozenset(request.avoid),
+            avoid=frozenset(request.avoided_engines),
             allowed=self._site_engines.get(request.site, frozenset()),
             waste_weight=self._service.waste_weight,
         )
@@ -360,7 +360,7 @@
             stream=job.stream,
             reason=reason.name,
             retry_after=retry_after,
-            why=f'wait={wait:.3f} queue={len(self._queue)}',
+            explanation=f'wait={wait:.3f} queue={len(self._queue)}',
             ticket=ticket,
         )
         return jobs.Decision(job.request, answer)
@@ -379,7 +379,7 @@
             stream=job.stream,
             prefill=pair.prefill.name,
             decode=pair.decode.name,
-            why=choice.explain(now - job.arrived_at),
+            explanation=choice.explain(now - job.arrived_at),
             transfer=pair.transfer_ends_at - pair.transfer_starts_at,
         )
         return jobs.Decision(request, answer)
--- a/galenahatch/core/claimwrites.py
+++ b/galenahatch/core/claimwrites.py
@@ -73,7 +73,7 @@
         return None, encode_new_claim(operation)
     if isinstance(operation, messages.ClaimVoid):
         return operation.record, None
-    return operation.claimed, operation.record
+    return operation.expected_record, operation.record
 
 
 def committed_reply(operation: Operation) -> messages.AnyMessage:
--- a/galenahatch/core/reservations.py
+++ b/galenahatch/core/reservations.py
@@ -117,7 +117,7 @@
 
     def reconcile(self, report: messages.HeldReport, now: float) -> None:
         """Add, confirm and drop reservations by an entry's full report."""
-        reported = {held.stream: held for held in report.held}
+        reported = {held.stream: held for held in report.owned}
         for stream, reservation in list(self._by_stream.items()):
             if reservation.entry != report.entry:
                 continue
@@ -125,7 +125,7 @@
                 reservation.confirmed_at = now
             elif now - reservation.placed_at > CONFIRM_TIMEOUT_S / 2:
                 self.release(stream, now)
-        for held in report.held:
+        for held in report.owned:
             if held.stream not in self._by_stream:
                 self._adopt(report.entry, held, now)
 
--- a/galenahatch/core/watch.py
+++ b/galenahatch/core/watch.py
@@ -65,7 +65,7 @@
         orphans = self._start_incarnation(report.entry, report.incarnation)
         streams = {
             held_stream.stream: held_stream
-            for held_stream in (*report.held, *report.watched)
+            for held_stream in (*report.owned, *report.watched)
         }
         self._entries[report.entry].streams = streams
         return orphans
--- a/galenahatch/course.py
+++ b/galenahatch/course.py
@@ -151,7 +151,7 @@
 
     async def _attempt(self, number: int) -> errors.Failure | None:
         request = self._place_request(number)
-        if request.patience <= 0:
+        if request.first_token_timeout <= 0:
             return errors.Failure(errors.NO_TIME, retry_after=1.0)
         placed = await self._means.placing.place(request)
         if isinstance(placed, errors.Failure):
@@ -207,9 +207,9 @@
             urgency=asked.urgency,
             prompt_tokens=asked.prompt_tokens + self._assembly.offset,
             output_tokens=asked.max_tokens - self._assembly.offset,
-            patience=whole - waited,
+            first_token_timeout=whole - waited,
             blocks=self._blocks,
-            avoid=tuple(self._avoid),
+            avoided_engines=tuple(self._avoid),
             data_centre=self._means.data_centre,
             revision=self._means.revision(),
             ticket=asked.headers.ticket,
--- a/galenahatch/ctl.py
+++ b/galenahatch/ctl.py
@@ -331,7 +331,7 @@
 
 def _daemon_rows(replies: Replies) -> list[console.Row]:
     return [
-        (m.member, m.standing.value, m.ready, m.revision, m.load, m.why)
+        (m.member, m.standing.value, m.ready, m.revision, m.load, m.reason)
         for m in queries.members(replies)
     ]
 
--- a/galenahatch/messages.py
+++ b/galenahatch/messages.py
@@ -47,7 +47,7 @@
         revision: configuration in force on the daemon.
         ready: whether it takes traffic.
         load: requests in flight (entry) or waiting (scheduler).
-        why: reason for not being ready, else empty.
+        reason: why the daemon takes no traffic; empty when ready.
     """
 
     member: ids.MemberId
@@ -57,7 +57,7 @@
     revision: ids.Revision
     ready: bool = True
     load: int = 0
-    why: str = ''
+    reason: str = ''
 
 
 class PlaceRequest(Message, frozen=True, array_like=True, tag=True):
@@ -73,9 +73,9 @@
         urgency: class.
         prompt_tokens: estimated length of the prompt.
         output_tokens: most tokens that will be generated.
-        patience: seconds until the first token is too late.
+        first_token_timeout: seconds until the first token is too late.
         blocks: hashes of the prompt's prefix blocks, first to last.
-        avoid: engines that failed this request before.
+        avoided_engines: engines that failed this request before.
         data_centre: of the entry.
         revision: configuration that the entry works with.
         ticket: from an earlier GivenUp, or empty.
@@ -90,9 +90,9 @@
     urgency: states.Urgency
     prompt_tokens: int
     output_tokens: int
-    patience: float
+    first_token_timeout: float
     blocks: tuple[int, ...]
-    avoid: tuple[ids.EngineName, ...]
+    avoided_engines: tuple[ids.EngineName, ...]
     data_centre: ids.DataCentre
     revision: ids.Revision = ids.Revision(0)
     ticket: str = ''
@@ -102,14 +102,14 @@
     """The pair of engines for an attempt.
 
     Attributes:
-        why: scores of the pair and of those that lost.
+        explanation: scores of the chosen pair and of the rejected ones.
         transfer: seconds of the links reserved.
     """
 
     stream: ids.StreamId
     prefill: ids.EngineName
     decode: ids.EngineName
-    why: str
+    explanation: str
     transfer: float = 0.0
 
 
@@ -125,7 +125,7 @@
     stream: ids.StreamId
     reason: str
     retry_after: float
-    why: str
+    explanation: str
     ticket: str = ''
 
 
@@ -149,14 +149,14 @@
     """An attempt ended; its engines are free of it.
 
     Attributes:
-        failed: engine at fault, or empty.
+        failed_engine: engine at fault, or None.
         tokens: output tokens generated.
         seconds_per_token: mean time between tokens; 0 when not known.
         note: how the attempt ended, for `explain`.
     """
 
     stream: ids.StreamId
-    failed: ids.EngineName | None = None
+    failed_engine: ids.EngineName | None = None
     tokens: int = 0
     seconds_per_token: float = 0.0
     note: str = ''
@@ -179,14 +179,14 @@
     """The attempts of an entry that concern one scheduler, complete.
 
     Attributes:
-        held: attempts in cells that the scheduler owns, to rebuild its
-            reservations from.
+        owned: attempts in cells that the scheduler owns, from which it
+            rebuilds its reservations.
         watched: the others, to cancel should the entry go silent.
     """
 
     entry: ids.MemberId
     incarnation: int
-    held: tuple[Held, ...]
+    owned: tuple[Held, ...]
     watched: tuple[Held, ...] = ()
 
 
@@ -195,7 +195,7 @@
 
     entry: ids.MemberId
     incarnation: int
-    held: Held
+    attempt: Held
 
 
 class Unwatch(Message, frozen=True, array_like=True, tag=True):
@@ -247,20 +247,20 @@
 
     key: ids.ClaimKey
     token: ids.ClaimToken
-    gone: bool
+    removed: bool
 
 
 class ClaimDone(Message, frozen=True, array_like=True, tag=True):
     """Mark a claim as finished; its answer is in the object store.
 
     Attributes:
-        claimed: the record as it stands in the table.
+        expected_record: the record that the table holds now.
         record: the finished record.
     """
 
     key: ids.ClaimKey
     token: ids.ClaimToken
-    claimed: bytes
+    expected_record: bytes
     record: bytes
 
 
@@ -276,15 +276,15 @@
     """Ask the holder of a claim what became of it, through a scheduler.
 
     Attributes:
-        claimed: the record as it stands in the table.
+        record: the record that the table holds.
     """
 
     key: ids.ClaimKey
     token: ids.ClaimToken
     holder: ids.MemberId
     incarnation: int
-    asker: ids.MemberId
-    claimed: bytes
+    requester: ids.MemberId
+    record: bytes
 
 
 class ClaimAnswer(Message, frozen=True, array_like=True, tag=True):
@@ -295,7 +295,7 @@
     """
 
     token: ids.ClaimToken
-    asker: ids.MemberId
+    requester: ids.MemberId
     state: states.HolderState
     answer: bytes = b''
 
@@ -316,7 +316,7 @@
 class ConfigRequest(Message, frozen=True, array_like=True, tag=True):
     """Ask a peer for its configuration if it is above a revision."""
 
-    above: ids.Revision
+    newer_than: ids.Revision
 
 
 class ConfigBody(Message, frozen=True, array_like=True, tag=True):
--- a/galenahatch/orphans.py
+++ b/galenahatch/orphans.py
@@ -66,7 +66,7 @@
     ) -> None:
         """Take an entry's word on its streams."""
         if isinstance(message, messages.Watch):
-            held = (message.held,)
+            held = (message.attempt,)
             orphans = self._watch.add(message.entry, message.incarnation, held)
             self._cancel(message.entry, orphans, 'restarted')
         elif isinstance(message, messages.HeldReport):
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -133,7 +133,7 @@
             revision=self._config.revision,
             ready=not self.why_not_ready,
             load=self.load,
-            why=self.why_not_ready,
+            reason=self.why_not_ready,
         )
 
     def heard(self, heartbeat: messages.Heartbeat) -> None:
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -238,7 +238,7 @@
 
     def _rebuild(self, report: messages.HeldReport, now: float) -> None:
         by_cell: dict[ids.CellId, list[messages.Held]] = {}
-        for held in report.held:
+        for held in report.owned:
             if held.cell not in self._cells and held.cell in self._plans:
                 self._make_cell(self._plans[held.cell])
             self._cell_by_stream.setdefault(held.stream, held.cell)
@@ -349,7 +349,9 @@
         request = decision.request
         send = self._waiters.pop(answer.stream, None)
         if isinstance(answer, messages.Placed):
-            line = f'placed {answer.prefill}+{answer.decode} {answer.why}'
+            line = (
+                f'placed {answer.prefill}+{answer.decode} {answer.explanation}'
+            )
             metrics.places_reserved.add(1)
             metrics.link_reserved.add(answer.transfer)
             self._placed(request.entry, self._held(request, answer))
@@ -359,10 +361,10 @@
                 stream=answer.stream,
                 prefill=answer.prefill,
                 decode=answer.decode,
-                why=answer.why,
+                why=answer.explanation,
             )
         else:
-            line = f'given up {answer.reason} {answer.why}'
+            line = f'given up {answer.reason} {answer.explanation}'
             self._cell_by_stream.pop(answer.stream, None)
             metrics.given_up.add(1, {'reason': answer.reason})
             _log.info(
@@ -371,7 +373,7 @@
                 stream=answer.stream,
                 reason=answer.reason,
                 retry_after=answer.retry_after,
-                why=answer.why,
+                why=answer.explanation,
             )
         self._trail.add(request.request, line)
         if send is not None:
--- a/galenahatch/placing.py
+++ b/galenahatch/placing.py
@@ -88,7 +88,7 @@
         self, request: messages.PlaceRequest
     ) -> messages.Placed | errors.Failure:
         """Return the engines for an attempt, or why there are none."""
-        until = clock.now() + request.patience
+        until = clock.now() + request.first_token_timeout
         future: asyncio.Future[messages.Placed | messages.GivenUp]
         future = asyncio.get_running_loop().create_future()
         self._waiting[request.stream] = future
@@ -119,7 +119,7 @@
                 await asyncio.sleep(min(left, _NO_SCHEDULER_WAIT))
                 continue
             self._owners[request.stream] = owner
-            fresh = msgspec.structs.replace(request, patience=left)
+            fresh = msgspec.structs.replace(request, first_token_timeout=left)
             self._peers.send(owner, fresh)
             # The owner gives up in time; its answer is waited for a little
             # beyond that.
@@ -135,7 +135,7 @@
         self._owners.pop(answer.stream, None)
         reason = errors.REASONS.get(answer.reason, errors.NO_ENGINE)
         return errors.Failure(
-            reason, answer.why, answer.retry_after, answer.ticket
+            reason, answer.explanation, answer.retry_after, answer.ticket
         )
 
     def answered(self, answer: messages.Placed | messages.GivenUp) -> None:
@@ -233,7 +233,7 @@
         report = messages.HeldReport(
             entry=self._peers.member,
             incarnation=self._peers.incarnation,
-            held=tuple(
+            owned=tuple(
                 h for h in held if self._owners.get(h.stream) == member
             ),
             watched=tuple(
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -182,7 +182,7 @@
         if isinstance(message, messages.ClaimQuery):
             self._forward_query(message, send)
         elif isinstance(message, messages.ClaimAnswer):
-            sender = self._senders.get(message.asker)
+            sender = self._senders.get(message.requester)
             if sender is not None:
                 self._hub.send(sender, message)
         elif isinstance(message, messages.AliveQuery):
@@ -192,7 +192,7 @@
             )
             send(messages.AliveReply(message.member, silence))
         elif isinstance(message, messages.ConfigRequest):
-            body = self.config.body(message.above)
+            body = self.config.body(message.newer_than)
             if body is not None:
                 send(body)
         elif isinstance(message, messages.ConfigBody):
@@ -232,7 +232,7 @@
         elif holder is None or sender is None:
             state = states.HolderState.SILENT
         if state is not None:
-            send(messages.ClaimAnswer(query.token, query.asker, state))
+            send(messages.ClaimAnswer(query.token, query.requester, state))
         elif sender is not None:
             self._hub.send(sender, query)
 
--- a/galenahatch/test/test_cell.py
+++ b/galenahatch/test/test_cell.py
@@ -58,9 +58,9 @@
         urgency=urgency,
         prompt_tokens=100,
         output_tokens=10,
-        patience=patience,
+        first_token_timeout=patience,
         blocks=(),
-        avoid=(),
+        avoided_engines=(),
         data_centre=ids.DataCentre('zogno'),
     )
 
@@ -173,7 +173,7 @@
     cell.decide(100.0)
     again = msgspec.structs.replace(
         _request(1, states.Urgency.NORMAL, 5.0),
-        avoid=(ids.EngineName('d1'),),
+        avoided_engines=(ids.EngineName('d1'),),
     )
     assert cell.submit(again, 1.0, 100.0) is None
     answer = cell.decide(100.1)[0].answer
--- a/galenahatch/test/test_fuzz_cell.py
+++ b/galenahatch/test/test_fuzz_cell.py
@@ -127,9 +127,9 @@
             urgency=urgency,
             prompt_tokens=prompt,
             output_tokens=output,
-            patience=2.0,
+            first_token_timeout=2.0,
             blocks=(),
-            avoid=(),
+            avoided_engines=(),
             data_centre=ids.DataCentre('zogno'),
         )
         self.waiting[stream] = request
--- a/galenahatch/test/test_fuzz_claims.py
+++ b/galenahatch/test/test_fuzz_claims.py
@@ -170,7 +170,8 @@
         if isinstance(sent.reply, messages.ClaimReply):
             self._claimed(sent.entry, sent.reply)
         elif (
-            isinstance(sent.reply, messages.VoidReply) and not sent.reply.gone
+            isinstance(sent.reply, messages.VoidReply)
+            and not sent.reply.removed
         ):
             self.operations.append(sent)
         elif isinstance(sent.reply, messages.DoneReply):
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -68,9 +68,9 @@
         urgency=states.Urgency.NORMAL,
         prompt_tokens=10,
         output_tokens=10,
-        patience=1.0,
+        first_token_timeout=1.0,
         blocks=(),
-        avoid=(),
+        avoided_engines=(),
         data_centre=_CENTRE,
         revision=ids.Revision(1),
     )
