--- a/galenahatch/application.py
+++ b/galenahatch/application.py
@@ -87,9 +87,9 @@
 
     def join(self) -> None:
         """Start to talk to peers and to follow the configuration."""
-        self.config.ask_with(self.peers.send)
-        self.peers.run(self.tasks)
-        self.config.run()
+        self.config.set_requester(self.peers.send)
+        self.peers.start(self.tasks)
+        self.config.start()
 
     async def listen(
         self,
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -66,7 +66,7 @@
         self._read_at = 0.0
         self._seen = ids.Revision(0)
         self._slots = asyncio.Semaphore(_AT_ONCE)
-        self.peers.report(self._note_ready)
+        self.peers.on_heartbeat(self._note_ready)
         self.join()
         pause = options.lease / _RENEWALS
         self.tasks.keep(
@@ -76,7 +76,7 @@
             'orders', lambda: tasks.every(lambda: _LOOK, self._repair)
         )
         app = web.Application()
-        app.add_routes(application.health_routes(self._why_not_ready))
+        app.add_routes(application.health_routes(self._not_ready_reason))
         await self.listen(app, options.controller_http_port, options.keepalive)
         _log.info('Listening.', member=self.peers.member)
 
@@ -92,11 +92,11 @@
             await self._give_up()
         await self.close()
 
-    def _why_not_ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         return '' if self.config.revision else 'no configuration'
 
     def _note_ready(self) -> None:
-        self.peers.why_not_ready = self._why_not_ready()
+        self.peers.not_ready_reason = self._not_ready_reason()
         self.peers.load = int(self._lease.is_holder(clock.now()))
 
     async def _renew(self) -> None:
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -35,14 +35,16 @@
 _log = logs.Log('config')
 
 Listener = collections.abc.Callable[[], None]
-Asker = collections.abc.Callable[[ids.MemberId, messages.ConfigRequest], bool]
+Requester = collections.abc.Callable[
+    [ids.MemberId, messages.ConfigRequest], bool
+]
 
 
 class Distribution:
     """Follows the configuration on one daemon.
 
     Attributes:
-        in_force: what the daemon works with.
+        active: the configuration that the daemon works with.
 
     Args:
         options: settings.
@@ -62,73 +64,77 @@
         self._table = tables
         self._objects = stored
         self._owner = owner
-        self.in_force = revision_module.ActiveConfiguration()
+        self.active = revision_module.ActiveConfiguration()
         self._listeners: list[Listener] = []
-        self._ask: Asker | None = None
+        self._request: Requester | None = None
 
     @property
     def revision(self) -> ids.Revision:
         """Number of the configuration in force; 0 before the first."""
-        return self.in_force.revision
+        return self.active.revision
 
     @property
     def sites(self) -> dict[str, schema.Config]:
         """Merged configuration by site."""
-        return self.in_force.sites
+        return self.active.sites
 
-    def mine(self) -> schema.Config | None:
+    def own_config(self) -> schema.Config | None:
         """Return the configuration of this daemon's site."""
-        return self.in_force.config_of(self._options.data_centre)
+        return self.active.config_of(self._options.data_centre)
 
     def region_of(self, centre: ids.DataCentre) -> ids.RegionName | None:
         """Return the region of a data centre; None if not known."""
-        site = self.in_force.site_of(centre)
+        site = self.active.site_of(centre)
         return site.region if site else None
 
     def site(self) -> schema.Site | None:
         """Return the site of this daemon."""
-        return self.in_force.site_of(self._options.data_centre)
+        return self.active.site_of(self._options.data_centre)
 
     def engine(self, name: ids.EngineName) -> schema.Engine | None:
         """Return an engine of any site."""
-        return self.in_force.engine(name)
+        return self.active.engine(name)
 
-    def body(self, above: ids.Revision) -> messages.ConfigBody | None:
+    def config_newer_than(
+        self, revision: ids.Revision
+    ) -> messages.ConfigBody | None:
         """Return the configuration for a peer that has less."""
-        accepted = self.in_force.accepted
-        if accepted is None or accepted.head.revision <= above:
+        accepted = self.active.accepted
+        if accepted is None or accepted.head.revision <= revision:
             return None
         return messages.ConfigBody(
             accepted.head.revision, revision_module.encode(accepted)
         )
 
-    def draining(self) -> tuple[str, ...]:
+    def drained_upstreams(self) -> tuple[str, ...]:
         """Return the upstreams that operators drained."""
-        accepted = self.in_force.accepted
+        accepted = self.active.accepted
         return accepted.bundle.draining if accepted else ()
 
-    def listen(self, listener: Listener) -> None:
+    def on_change(self, listener: Listener) -> None:
         """Call a function after each change."""
         self._listeners.append(listener)
 
-    def ask_with(self, ask: Asker) -> None:
+    def set_requester(self, request: Requester) -> None:
         """Set how a peer is asked for its configuration."""
-        self._ask = ask
+        self._request = request
 
-    def run(self) -> None:
+    def start(self) -> None:
         """Start the task that reads the table."""
         poll = self._options.config_poll
         self._owner.keep(
             'config', lambda: tasks.every(lambda: poll, self._read)
         )
 
-    def hint(self, member: ids.MemberId, seen: ids.Revision) -> None:
+    def record_peer_revision(
+        self, member: ids.MemberId, seen: ids.Revision
+    ) -> None:
         """Take a revision seen in a heartbeat."""
-        if seen <= self.revision or self._ask is None:
+        if seen <= self.revision or self._request is None:
             return
-        self._ask(member, messages.ConfigRequest(self.revision))
+        self._request(member, messages.ConfigRequest(self.revision))
 
-    def offered(self, message: messages.ConfigBody) -> None:
+    def apply_peer_config(self, message: messages.ConfigBody) -> None:
         """Take a peer's configuration."""
         accepted = revision_module.decode_accepted(message.body)
         if isinstance(accepted, errors.Failure):
@@ -168,7 +174,7 @@
             return
         # Parsing takes long at the planned size; streams go on meanwhile.
         sites = await asyncio.to_thread(config.load, accepted.bundle)
-        if not self.in_force.apply_if_newer(accepted, sites):
+        if not self.active.apply_if_newer(accepted, sites):
             return
         _log.info(
             'Configuration in force.',
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -76,9 +76,9 @@
         self._serving = serving.Serving(
             self.config, self._means, self._claiming, self._plain
         )
-        self.config.listen(self._reconfigured)
-        self.peers.listen(self._listed)
-        self.peers.report(self._beat)
+        self.config.on_change(self._reconfigured)
+        self.peers.on_vm_list(self._listed)
+        self.peers.on_heartbeat(self._beat)
         self.join()
         await self._serve()
         _log.info('Listening.', member=self.peers.member)
@@ -118,7 +118,7 @@
             client_max_size=self.options.max_body_bytes,
             middlewares=[self._serving.typed_errors],
         )
-        app.add_routes(application.health_routes(self._why_not_ready))
+        app.add_routes(application.health_routes(self._not_ready_reason))
         app.add_routes(self._serving.routes())
         await self.listen(
             app,
@@ -152,7 +152,7 @@
     def _reconfigured(self) -> None:
         self._placing.replan()
         self._leaving.record_configuration(
-            self.config.revision, self.config.draining()
+            self.config.revision, self.config.drained_upstreams()
         )
 
     def _listed(self, listed: vms.VmList) -> None:
@@ -163,13 +163,13 @@
 
     def _beat(self) -> None:
         self.peers.load = self._serving.in_flight
-        self.peers.why_not_ready = self._why_not_ready()
+        self.peers.not_ready_reason = self._not_ready_reason()
         self._placing.report()
 
-    def _why_not_ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         if self.peers.standing is states.Standing.LEAVING:
             return 'leaving'
-        if self.config.mine() is None:
+        if self.config.own_config() is None:
             return 'no configuration'
         if not self.peers.schedulers():
             return 'no scheduler'
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -68,30 +68,36 @@
         self._vms = platform
         self._handler = handler
         self._links: dict[ids.MemberId, bus.Link[messages.AnyMessage]] = {}
-        self._listeners: list[VmListener] = []
-        self._reports: list[collections.abc.Callable[[], None]] = []
+        self._vm_listeners: list[VmListener] = []
+        self._heartbeat_listeners: list[
+            collections.abc.Callable[[], None]
+        ] = []
         self._system_vms: dict[str, vms.Vm] = {}
         self.incarnation = clock.incarnation()
         self.member = member_id(role, options)
-        self.membership = membership.Membership(self._silence())
+        self.membership = membership.Membership(self._silence_timeout())
         self.standing = states.Standing.LIVE
-        self.why_not_ready = ''
+        self.not_ready_reason = ''
         self.load = 0
 
-    def listen(self, listener: VmListener) -> None:
+    def on_vm_list(self, listener: VmListener) -> None:
         """Call a function with each VM list."""
-        self._listeners.append(listener)
+        self._vm_listeners.append(listener)
 
-    def report(self, send: collections.abc.Callable[[], None]) -> None:
+    def on_heartbeat(
+        self, listener: collections.abc.Callable[[], None]
+    ) -> None:
         """Call a function after each round of heartbeats."""
-        self._reports.append(send)
+        self._heartbeat_listeners.append(listener)
 
-    def run(self, owner: tasks.Tasks) -> None:
+    def start(self, owner: tasks.Tasks) -> None:
         """Start the tasks."""
         for address in self._options.peers:
             self._connect(address)
         interval = self.interval
-        owner.keep('heartbeats', lambda: tasks.every(interval, self._beat))
+        owner.keep(
+            'heartbeats', lambda: tasks.every(interval, self._send_heartbeats)
+        )
         poll = self._options.vms_poll
         owner.keep('vms', lambda: tasks.every(lambda: poll, self._read_vms))
 
@@ -131,12 +137,12 @@
             data_centre=self._options.data_centre,
             standing=self.standing,
             revision=self._config.revision,
-            ready=not self.why_not_ready,
+            ready=not self.not_ready_reason,
             load=self.load,
-            reason=self.why_not_ready,
+            reason=self.not_ready_reason,
         )
 
-    def heard(self, heartbeat: messages.Heartbeat) -> None:
+    def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """Take a heartbeat, from a link or from the hub."""
         now = clock.now()
         fresh = self.membership.record_heartbeat(heartbeat, now)
@@ -146,20 +152,20 @@
                 member=heartbeat.member,
                 incarnation=heartbeat.incarnation,
             )
-        self._config.hint(heartbeat.member, heartbeat.revision)
+        self._config.record_peer_revision(heartbeat.member, heartbeat.revision)
 
-    def _silence(self) -> float:
+    def _silence_timeout(self) -> float:
         return self._options.silence * self._options.heartbeat
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         now = clock.now()
         self.membership.silence_timeout = (
             self._options.silence * self.interval()
         )
         self.membership.forget_silent(now)
         self.broadcast(self.heartbeat())
-        for report in self._reports:
-            report()
+        for listener in self._heartbeat_listeners:
+            listener()
 
     async def _read_vms(self) -> None:
         listed = await self._vms.read()
@@ -171,12 +177,12 @@
             (vm.address for vm in system if vm.state != 'live'),
         )
         self._system_vms = {vm.address: vm for vm in system}
-        self._connect_listed()
-        for listener in self._listeners:
+        self._update_links()
+        for listener in self._vm_listeners:
             listener(listed)
 
-    def _connect_listed(self) -> None:
-        wanted = {vm.address for vm in self._wanted()}
+    def _update_links(self) -> None:
+        wanted = {vm.address for vm in self._reachable_vms()}
         wanted.update(self._options.peers)
         for address in sorted(wanted):
             self._connect(address)
@@ -187,7 +193,7 @@
             if gone:
                 self._links.pop(member).close()
 
-    def _wanted(self) -> list[vms.Vm]:
+    def _reachable_vms(self) -> list[vms.Vm]:
         """Return the VMs of this region, or a few while it is not known."""
         listed = sorted(self._system_vms.values(), key=lambda vm: vm.name)
         region = self._config.region_of(self._options.data_centre)
@@ -210,9 +216,9 @@
 
     def _receive(self, message: messages.AnyMessage) -> None:
         if isinstance(message, messages.Heartbeat):
-            self.heard(message)
+            self.record_heartbeat(message)
         elif isinstance(message, messages.ConfigBody):
-            self._config.offered(message)
+            self._config.apply_peer_config(message)
         else:
             self._handler(message)
 
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -86,7 +86,7 @@
         """Hand over what is owned, finish what was begun, and stop."""
         application.ignore_signals(_log)
         self.peers.standing = states.Standing.LEAVING
-        self.peers.why_not_ready = 'leaving'
+        self.peers.not_ready_reason = 'leaving'
         _log.info('Leaving.', waiting=self._placement.waiting)
         told = 0
         while told < _HANDOVER_INTERVALS or self._busy():
@@ -101,13 +101,13 @@
         endpoint = f'tcp://{options.address}:{options.scheduler_port}'
         self._hub = bus.Hub(endpoint, messages.CODEC, self._from_peer)
         app = web.Application()
-        app.add_routes(application.health_routes(self._why_not_ready))
+        app.add_routes(application.health_routes(self._not_ready_reason))
         await self.listen(app, options.scheduler_http_port, options.keepalive)
 
     def _start_tasks(self) -> None:
-        self.config.listen(self._replan)
-        self.peers.listen(self._listed)
-        self.peers.report(self._refresh)
+        self.config.on_change(self._replan)
+        self.peers.on_vm_list(self._listed)
+        self.peers.on_heartbeat(self._refresh)
         self.join()
         keep = self.tasks.keep
         keep('placement', self._placement.run)
@@ -128,7 +128,7 @@
             or self._canceller.open
         )
 
-    def _why_not_ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         if self.peers.standing is states.Standing.LEAVING:
             return 'leaving'
         if not self.config.revision:
@@ -192,11 +192,11 @@
             )
             send(messages.AliveReply(message.member, silence))
         elif isinstance(message, messages.ConfigRequest):
-            body = self.config.body(message.newer_than)
+            body = self.config.config_newer_than(message.newer_than)
             if body is not None:
                 send(body)
         elif isinstance(message, messages.ConfigBody):
-            self.config.offered(message)
+            self.config.apply_peer_config(message)
         elif isinstance(message, messages.StatusRequest):
             send(self._status())
         elif isinstance(message, messages.ExplainRequest):
@@ -207,7 +207,7 @@
         self, peer: bus.Peer, heartbeat: messages.Heartbeat
     ) -> None:
         self._senders[heartbeat.member] = peer
-        self.peers.heard(heartbeat)
+        self.peers.record_heartbeat(heartbeat)
         self._orphans.heard(heartbeat)
         self._hub.send(peer, self.peers.heartbeat())
         if heartbeat.revision > self.config.revision:
@@ -256,9 +256,9 @@
     def _refresh(self) -> None:
         """Tell the placement what is owned and what leaves."""
         self._leaving.record_configuration(
-            self.config.revision, self.config.draining()
+            self.config.revision, self.config.drained_upstreams()
         )
-        self.peers.why_not_ready = self._why_not_ready()
+        self.peers.not_ready_reason = self._not_ready_reason()
         self.peers.load = self._placement.waiting
         leaving = self._leaving.leaving_engines(self._declared())
         owned = frozenset(self._owned())
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -122,7 +122,7 @@
     async def _models(self, request: web.Request) -> web.StreamResponse:
         """List the models for a known caller."""
         none = ids.RequestId('')
-        settings = self._config.mine()
+        settings = self._config.own_config()
         if self.closed or settings is None:
             return answers.refusal_of(self._unavailable(request), none)
         caller = inbound.read_caller(request.headers, settings)
@@ -143,7 +143,7 @@
     ) -> web.StreamResponse:
         """Admit a request and count it while it is in flight."""
         none = ids.RequestId('')
-        settings = self._config.mine()
+        settings = self._config.own_config()
         if self.closed or settings is None:
             return answers.refusal_of(self._unavailable(request), none)
         caller = inbound.read_caller(request.headers, settings)
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -86,7 +86,7 @@
         objects.Objects(None, ''),  # type: ignore[arg-type]
         tasks.Tasks(),
     )
-    settings.in_force.apply_if_newer(accepted, config.load(accepted.bundle))
+    settings.active.apply_if_newer(accepted, config.load(accepted.bundle))
     return settings
 
 
