--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -35,7 +35,7 @@
 from galenahatch import logs
 from galenahatch import messages
 from galenahatch import metrics
-from galenahatch import placing as placing_module
+from galenahatch import placementclient
 from galenahatch import schema
 from galenahatch import states
 from galenahatch.upstream import engine as engine_client
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass
-class Means:
+class AttemptContext:
     """What courses work with.
 
     Attributes:
@@ -68,14 +68,16 @@
 
     member: ids.MemberId
     data_centre: ids.DataCentre
-    placing: placing_module.Placing
+    placement: placementclient.PlacementClient
     canceller: cancelling.Canceller
-    find: cancelling.FindEngine
-    repeatable: aiohttp.ClientSession
-    once: aiohttp.ClientSession
-    budget: collections.abc.Callable[[schema.ModelService], retry.RetryBudget]
-    site: collections.abc.Callable[[], ids.SiteName]
-    revision: collections.abc.Callable[[], ids.Revision]
+    find_engine: cancelling.FindEngine
+    idempotent_session: aiohttp.ClientSession
+    non_idempotent_session: aiohttp.ClientSession
+    retry_budget_of: collections.abc.Callable[
+        [schema.ModelService], retry.RetryBudget
+    ]
+    current_site: collections.abc.Callable[[], ids.SiteName]
+    current_revision: collections.abc.Callable[[], ids.Revision]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -104,7 +106,7 @@
 
     def __init__(
         self,
-        means: Means,
+        means: AttemptContext,
         asked: inbound.ModelRequest,
         sink: answers.Sink,
         answer: assembly.AnswerAssembler,
@@ -121,7 +123,9 @@
         self._decode_engine = engines.decode
         self._arrived_at = arrived_at
         once = asked.headers.non_idempotent
-        self._client = means.once if once else means.repeatable
+        self._client = (
+            means.non_idempotent_session if once else means.idempotent_session
+        )
         # Engines that may hold memory of the attempt.
         self._touched: set[ids.EngineName] = set()
         self._failed: ids.EngineName | None = None
@@ -167,7 +171,7 @@
             return self._blame(self._prefill_engine, done)
         self._spent = done.prompt_tokens - done.cached_tokens
         metrics.prefill_spent.add(self._spent)
-        self._means.placing.progress(
+        self._means.placement.progress(
             self._stream,
             states.Stage.TRANSFER,
             done.cached_tokens,
@@ -225,7 +229,7 @@
                 return self._blame(self._decode_engine, failure)
             await asyncio.sleep(retry.backoff(resumes, clock.RANDOM))
             resumed = await engine_client.resume(
-                self._means.repeatable,
+                self._means.idempotent_session,
                 cancelling.url_of(self._decode_engine),
                 self._stream,
                 self._assembly.offset,
@@ -283,7 +287,7 @@
         if self._first_at:
             return
         self._first_at = clock.now()
-        self._means.placing.progress(
+        self._means.placement.progress(
             self._stream,
             states.Stage.DECODE,
             -1,
@@ -319,7 +323,7 @@
         pace = spread / (count - 1) if count > 1 else 0.0
         if pace:
             metrics.between_tokens.record(pace)
-        self._means.placing.release(
+        self._means.placement.release(
             messages.Release(
                 self._stream,
                 tokens=count,
@@ -337,7 +341,7 @@
         )
 
         def then() -> None:
-            self._means.placing.release(release)
+            self._means.placement.release(release)
 
         if self._touched:
             self._means.canceller.cancel(
--- a/galenahatch/claiming.py
+++ b/galenahatch/claimclient.py
@@ -67,7 +67,7 @@
         return self.record.token
 
 
-class Claiming:
+class ClaimClient:
     """Claims of one entry.
 
     Args:
--- a/galenahatch/claims.py
+++ b/galenahatch/claimwriter.py
@@ -49,7 +49,7 @@
     send: Send
 
 
-class Claims:
+class ClaimWriter:
     """Inbox and groups.
 
     Args:
@@ -70,7 +70,7 @@
         """Operations that are not answered yet."""
         return self._open
 
-    def tell(self, operation: claimwrites.Operation, send: Send) -> None:
+    def submit(self, operation: claimwrites.Operation, send: Send) -> None:
         """Put an operation into the inbox."""
         self._open += 1
         self._inbox.put_nowait(Order(operation, send))
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -24,15 +24,15 @@
 from galenahatch import application
 from galenahatch import attempt
 from galenahatch import cancelling
-from galenahatch import claiming as claiming_module
+from galenahatch import claimclient
 from galenahatch.core import leaving as leaving_module
 from galenahatch.core import retry
 from galenahatch import ids
 from galenahatch import logs
 from galenahatch import messages
 from galenahatch import options as options_module
-from galenahatch import placing as placing_module
-from galenahatch import plain as plain_module
+from galenahatch import placementclient
+from galenahatch import plainservices
 from galenahatch.platform import vms
 from galenahatch import schema
 from galenahatch import serving
@@ -60,17 +60,17 @@
         self._once = http.session(
             options.connect_timeout, options.idle_timeout, reuse=False
         )
-        self._placing = placing_module.Placing(
+        self._placing = placementclient.PlacementClient(
             self.peers, self.config, options.data_centre
         )
-        self._claiming = claiming_module.Claiming(
+        self._claiming = claimclient.ClaimClient(
             self.peers, self.objects, self.tasks, options.claim_timeout
         )
         self._canceller = cancelling.Canceller(
             self.engines, self.config.engine, self.tasks
         )
         self._means = self._make_means()
-        self._plain = plain_module.Plain(
+        self._plain = plainservices.PlainServices(
             self.engines, self._once, self._claiming, self._leaving
         )
         self._serving = serving.Serving(
@@ -127,18 +127,18 @@
             self.options.max_header_bytes,
         )
 
-    def _make_means(self) -> attempt.Means:
-        return attempt.Means(
+    def _make_means(self) -> attempt.AttemptContext:
+        return attempt.AttemptContext(
             member=self.peers.member,
             data_centre=self.options.data_centre,
-            placing=self._placing,
+            placement=self._placing,
             canceller=self._canceller,
-            find=self.config.engine,
-            repeatable=self.engines,
-            once=self._once,
-            budget=self._budget,
-            site=self._site,
-            revision=lambda: self.config.revision,
+            find_engine=self.config.engine,
+            idempotent_session=self.engines,
+            non_idempotent_session=self._once,
+            retry_budget_of=self._budget,
+            current_site=self._site,
+            current_revision=lambda: self.config.revision,
         )
 
     # News.
--- a/galenahatch/course.py
+++ b/galenahatch/execution.py
@@ -55,7 +55,7 @@
 )
 
 
-class Course:
+class RequestExecution:
     """One request on its way.
 
     Args:
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        means: attempt_module.Means,
+        means: attempt_module.AttemptContext,
         asked: inbound.ModelRequest,
         sink: answers.Sink,
         may_send: collections.abc.Callable[[], bool],
@@ -108,7 +108,7 @@
     async def run(self) -> errors.Failure | None:
         """Run to the end; None when the answer is whole."""
         number = 0
-        budget = self._means.budget(self._asked.service)
+        budget = self._means.retry_budget_of(self._asked.service)
         while True:
             number += 1
             failure = await self._attempt(number)
@@ -153,13 +153,13 @@
         request = self._place_request(number)
         if request.first_token_timeout <= 0:
             return errors.Failure(errors.NO_TIME, retry_after=1.0)
-        placed = await self._means.placing.place(request)
+        placed = await self._means.placement.place(request)
         if isinstance(placed, errors.Failure):
             return placed
         engines = self._engines_of(placed)
         if engines is None:
             note = messages.Release(placed.stream, note='engine undeclared')
-            self._means.placing.release(note)
+            self._means.placement.release(note)
             return errors.Failure(errors.NO_ENGINE, retry_after=1.0)
         self._hold(request, engines)
         attempt = attempt_module.Attempt(
@@ -202,7 +202,7 @@
             stream=ids.StreamId(f'{asked.headers.request}.{number}'),
             entry=self._means.member,
             service=asked.service.name,
-            site=self._means.site(),
+            site=self._means.current_site(),
             caller=asked.caller,
             urgency=asked.urgency,
             prompt_tokens=asked.prompt_tokens + self._assembly.offset,
@@ -211,15 +211,15 @@
             blocks=self._blocks,
             avoided_engines=tuple(self._avoid),
             data_centre=self._means.data_centre,
-            revision=self._means.revision(),
+            revision=self._means.current_revision(),
             ticket=asked.headers.ticket,
         )
 
     def _engines_of(
         self, placed: messages.Placed
     ) -> attempt_module.Engines | None:
-        prefill = self._means.find(placed.prefill)
-        decode = self._means.find(placed.decode)
+        prefill = self._means.find_engine(placed.prefill)
+        decode = self._means.find_engine(placed.decode)
         if prefill is None or decode is None:
             return None
         return attempt_module.Engines(prefill, decode)
@@ -229,7 +229,7 @@
         request: messages.PlaceRequest,
         engines: attempt_module.Engines,
     ) -> None:
-        cell = self._means.placing.cell_of(request)
+        cell = self._means.placement.cell_of(request)
         held = messages.Held(
             stream=request.stream,
             cell=cell or ids.CellId(''),
@@ -240,7 +240,7 @@
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
         )
-        self._means.placing.hold(held)
+        self._means.placement.hold(held)
 
 
 def _spent(failure: errors.Failure) -> errors.Failure:
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -35,7 +35,7 @@
 from galenahatch import logs
 from galenahatch import messages
 from galenahatch import metrics
-from galenahatch import news as news_module
+from galenahatch import placementevents
 from galenahatch import states
 from galenahatch import trail
 
@@ -64,7 +64,9 @@
         self._data_centre = data_centre
         self._trail = kept
         self._placed = placed
-        self._inbox: asyncio.Queue[news_module.News] = asyncio.Queue()
+        self._inbox: asyncio.Queue[placementevents.PlacementEvent] = (
+            asyncio.Queue()
+        )
         self._cells: dict[ids.CellId, cell_module.Cell] = {}
         self._cell_by_stream: dict[ids.StreamId, ids.CellId] = {}
         self._waiters: dict[
@@ -75,7 +77,7 @@
         # Of the plans; the configuration in force may be ahead of them.
         self._revision = ids.Revision(0)
         # Requests of entries that are ahead of this scheduler's revision.
-        self._early: list[news_module.FromEntry] = []
+        self._early: list[placementevents.EntryMessage] = []
         self._plans: collections.abc.Mapping[
             ids.CellId, cells_module.CellConfig
         ] = {}
@@ -90,7 +92,7 @@
         """The cells, in no special order."""
         return tuple(self._cells.values())
 
-    def tell(self, news: news_module.News) -> None:
+    def put(self, news: placementevents.PlacementEvent) -> None:
         """Put news into the inbox."""
         self._inbox.put_nowait(news)
 
@@ -139,17 +141,17 @@
         times = [look - now for look in looks if look is not None]
         return max(0.001, min(times, default=_IDLE_LOOK))
 
-    def _take(self, news: news_module.News) -> None:
-        if isinstance(news, news_module.FromEntry):
+    def _take(self, news: placementevents.PlacementEvent) -> None:
+        if isinstance(news, placementevents.EntryMessage):
             self._take_message(news)
-        elif isinstance(news, news_module.EngineReport):
+        elif isinstance(news, placementevents.EngineReport):
             self._take_report(news)
-        elif isinstance(news, news_module.EntryGone):
+        elif isinstance(news, placementevents.EntryGone):
             self._forget_entry(news.entry)
         else:
             self._refresh(news)
 
-    def _take_message(self, news: news_module.FromEntry) -> None:
+    def _take_message(self, news: placementevents.EntryMessage) -> None:
         message = news.message
         now = clock.now()
         if isinstance(message, messages.PlaceRequest):
@@ -176,7 +178,7 @@
         cell_id, cell = self._cell_for(request)
         if cell_id is None or cell is None:
             if request.revision > self._revision:
-                self._early.append(news_module.FromEntry(request, send))
+                self._early.append(placementevents.EntryMessage(request, send))
                 return
             reason = errors.UNKNOWN_MODEL.name
             send(messages.GivenUp(request.stream, reason, 1.0, 'no cell'))
@@ -250,7 +252,7 @@
             )
             cell.reconcile(part, now)
 
-    def _take_report(self, news: news_module.EngineReport) -> None:
+    def _take_report(self, news: placementevents.EngineReport) -> None:
         now = clock.now()
         load = news.load
         for cell in self._cells.values():
@@ -277,7 +279,7 @@
         for cell in self._cells.values():
             cell.remove_entry(entry, clock.now())
 
-    def _refresh(self, news: news_module.Refresh) -> None:
+    def _refresh(self, news: placementevents.Refresh) -> None:
         self._leaving = news.leaving
         self._plans = news.plans
         self._revision = news.revision
--- a/galenahatch/placing.py
+++ b/galenahatch/placementclient.py
@@ -43,7 +43,7 @@
 _log = logs.Log('placing')
 
 
-class Placing:
+class PlacementClient:
     """Requests that wait for a place, and attempts in flight.
 
     Args:
--- a/galenahatch/news.py
+++ b/galenahatch/placementevents.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class FromEntry:
+class EntryMessage:
     """A message of an entry.
 
     Attributes:
@@ -58,4 +58,4 @@
     leaving: frozenset[ids.EngineName]
 
 
-News = FromEntry | EngineReport | EntryGone | Refresh
+PlacementEvent = EntryMessage | EngineReport | EntryGone | Refresh
--- a/galenahatch/plain.py
+++ b/galenahatch/plainservices.py
@@ -26,7 +26,7 @@
 from aiohttp import web
 
 from galenahatch import answers
-from galenahatch import claiming as claiming_module
+from galenahatch import claimclient
 from galenahatch.core import claim
 from galenahatch.core import leaving as leaving_module
 from galenahatch import errors
@@ -43,7 +43,7 @@
 _log = logs.Log('plain')
 
 
-class Plain:
+class PlainServices:
     """Calls of plain services.
 
     Args:
@@ -57,7 +57,7 @@
         self,
         repeatable: aiohttp.ClientSession,
         once: aiohttp.ClientSession,
-        claiming: claiming_module.Claiming,
+        claiming: claimclient.ClaimClient,
         leaving: leaving_module.LeavingUpstreams,
     ) -> None:
         self._repeatable = repeatable
@@ -116,7 +116,7 @@
         self,
         service: schema.PlainService,
         call: service_client.Call,
-        claimed: claiming_module.Claimed,
+        claimed: claimclient.Claimed,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
         if not self._claiming.dispatch(claimed):
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -22,7 +22,7 @@
 from galenahatch.core import leaving as leaving_module
 from galenahatch import errors
 from galenahatch import ids
-from galenahatch import news as news_module
+from galenahatch import placementevents
 from galenahatch import schema
 from galenahatch.upstream import engine as engine_client
 
@@ -41,7 +41,7 @@
     def __init__(
         self,
         client: aiohttp.ClientSession,
-        tell: collections.abc.Callable[[news_module.News], None],
+        tell: collections.abc.Callable[[placementevents.PlacementEvent], None],
         leaving: leaving_module.LeavingUpstreams,
     ) -> None:
         self._client = client
@@ -74,4 +74,4 @@
         self._leaving.record_report(
             engine.name, load.incarnation, load.sequence, load.leaving
         )
-        self._tell(news_module.EngineReport(engine.name, load))
+        self._tell(placementevents.EngineReport(engine.name, load))
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -26,7 +26,7 @@
 from galenahatch import application
 from galenahatch import bus
 from galenahatch import cancelling
-from galenahatch import claims as claims_module
+from galenahatch import claimwriter
 from galenahatch import clock
 from galenahatch.core import cells
 from galenahatch.core import leaving as leaving_module
@@ -34,10 +34,10 @@
 from galenahatch import ids
 from galenahatch import logs
 from galenahatch import messages
-from galenahatch import news as news_module
 from galenahatch import options as options_module
 from galenahatch import orphans as orphans_module
 from galenahatch import placement as placement_module
+from galenahatch import placementevents
 from galenahatch.platform import vms
 from galenahatch import probes as probes_module
 from galenahatch import schema
@@ -68,7 +68,7 @@
         self._placement = placement_module.Placement(
             self.config, options.data_centre, self._trail, self._placed
         )
-        self._claims = claims_module.Claims(self.table, options.claim_group)
+        self._claims = claimwriter.ClaimWriter(self.table, options.claim_group)
         self._canceller = cancelling.Canceller(
             self.engines, self.config.engine, self.tasks
         )
@@ -76,7 +76,7 @@
             self.peers, self._canceller, self._forget
         )
         self._probes = probes_module.Probes(
-            self.engines, self._placement.tell, self._leaving
+            self.engines, self._placement.put, self._leaving
         )
         await self._open_sockets()
         self._start_tasks()
@@ -157,20 +157,20 @@
         if isinstance(message, messages.Heartbeat):
             self._from_member(peer, message)
         elif isinstance(message, messages.PlaceRequest | messages.Progress):
-            self._placement.tell(news_module.FromEntry(message, send))
+            self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.HeldReport):
             self._orphans.take(message)
-            self._placement.tell(news_module.FromEntry(message, send))
+            self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.Release):
             self._orphans.ended(message.stream)
-            self._placement.tell(news_module.FromEntry(message, send))
+            self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.Watch | messages.Unwatch):
             self._orphans.take(message)
         elif isinstance(
             message,
             messages.ClaimRequest | messages.ClaimVoid | messages.ClaimDone,
         ):
-            self._claims.tell(message, send)
+            self._claims.submit(message, send)
         else:
             self._answer_query(message, send)
 
@@ -262,8 +262,10 @@
         self.peers.load = self._placement.waiting
         leaving = self._leaving.leaving_engines(self._declared())
         owned = frozenset(self._owned())
-        news = news_module.Refresh(self._planned, self._plans, owned, leaving)
-        self._placement.tell(news)
+        news = placementevents.Refresh(
+            self._planned, self._plans, owned, leaving
+        )
+        self._placement.put(news)
 
     def _replan(self) -> None:
         """Work out the cells of a new configuration."""
@@ -296,4 +298,4 @@
         self._orphans.placed(entry, held)
 
     def _forget(self, entry: ids.MemberId) -> None:
-        self._placement.tell(news_module.EntryGone(entry))
+        self._placement.put(placementevents.EntryGone(entry))
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -26,17 +26,17 @@
 
 from galenahatch import answers
 from galenahatch import attempt
-from galenahatch import claiming as claiming_module
+from galenahatch import claimclient
 from galenahatch import clock
 from galenahatch.core import claim
-from galenahatch import course as course_module
 from galenahatch import distribution
 from galenahatch import errors
+from galenahatch import execution
 from galenahatch import ids
 from galenahatch import inbound
 from galenahatch import logs
 from galenahatch import metrics
-from galenahatch import plain as plain_module
+from galenahatch import plainservices
 from galenahatch import schema
 
 _BODY_SECONDS: typing.Final = 30.0
@@ -65,9 +65,9 @@
     def __init__(
         self,
         settings: distribution.Distribution,
-        means: attempt.Means,
-        claiming: claiming_module.Claiming,
-        plain: plain_module.Plain,
+        means: attempt.AttemptContext,
+        claiming: claimclient.ClaimClient,
+        plain: plainservices.PlainServices,
     ) -> None:
         self._config = settings
         self._means = means
@@ -215,7 +215,7 @@
         self,
         request: web.Request,
         asked: inbound.ModelRequest,
-        claimed: claiming_module.Claimed | None,
+        claimed: claimclient.Claimed | None,
     ) -> web.StreamResponse:
         """Run a course within its deadline, settle its claim, answer."""
         stream = answers.StreamSink(request, asked) if asked.stream else None
@@ -223,7 +223,7 @@
         def may_send() -> bool:
             return claimed is None or self._claiming.dispatch(claimed)
 
-        course = course_module.Course(
+        course = execution.RequestExecution(
             self._means, asked, stream or answers.NoSink(), may_send
         )
         try:
@@ -238,7 +238,7 @@
         return await self._reply(course, asked, stream, failure)
 
     async def _within_deadline(
-        self, course: course_module.Course, asked: inbound.ModelRequest
+        self, course: execution.RequestExecution, asked: inbound.ModelRequest
     ) -> errors.Failure | None:
         try:
             async with asyncio.timeout(asked.deadline):
@@ -250,9 +250,9 @@
 
     def _settle(
         self,
-        course: course_module.Course,
+        course: execution.RequestExecution,
         asked: inbound.ModelRequest,
-        claimed: claiming_module.Claimed | None,
+        claimed: claimclient.Claimed | None,
         failure: errors.Failure | None,
     ) -> None:
         """Store what a claimed request came to, or remove its claim."""
@@ -272,7 +272,7 @@
 
     async def _reply(
         self,
-        course: course_module.Course,
+        course: execution.RequestExecution,
         asked: inbound.ModelRequest,
         stream: answers.StreamSink | None,
         failure: errors.Failure | None,
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -21,9 +21,9 @@
 from galenahatch import distribution
 from galenahatch import ids
 from galenahatch import messages
-from galenahatch import news
 from galenahatch import options
 from galenahatch import placement
+from galenahatch import placementevents
 from galenahatch.platform import objects
 from galenahatch.platform import table
 from galenahatch import schema
@@ -101,13 +101,13 @@
     )
     answers: list[messages.AnyMessage] = []
     running = asyncio.create_task(owner.run())
-    owner.tell(news.FromEntry(_request(1), answers.append))
+    owner.put(placementevents.EntryMessage(_request(1), answers.append))
     await asyncio.sleep(0.01)
     plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
-    refresh = news.Refresh(
+    refresh = placementevents.Refresh(
         ids.Revision(1), plans, frozenset(plans), frozenset()
     )
-    owner.tell(refresh)
+    owner.put(refresh)
     await asyncio.sleep(0.01)
     running.cancel()
     return answers
@@ -133,14 +133,16 @@
         _settings(accepted), _CENTRE, trail.Trail(), lambda entry, held: None
     )
     plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
-    owner.tell(
-        news.Refresh(ids.Revision(1), plans, frozenset(plans), frozenset())
+    owner.put(
+        placementevents.Refresh(
+            ids.Revision(1), plans, frozenset(plans), frozenset()
+        )
     )
     name = ids.EngineName('p1')
     for incarnation, numbers, block in ((1, range(5), 7), (2, range(2), 8)):
         events = tuple(engine.Stored(n, (block,)) for n in numbers)
         load = engine.Load(incarnation, 1, False, 0, 0.0, events)
-        owner.tell(news.EngineReport(name, load))
+        owner.put(placementevents.EngineReport(name, load))
     running = asyncio.create_task(owner.run())
     await asyncio.sleep(0.01)
     running.cancel()
