--- a/galenahatch/answers.py
+++ b/galenahatch/answers.py
@@ -31,14 +31,14 @@
 class Sink(typing.Protocol):
     """Where an answer's tokens go while it is generated."""
 
-    async def tokens(self, text: str) -> None:
+    async def send_text(self, text: str) -> None:
         """Pass on some text."""
 
 
-class NoSink:
+class DiscardingSink:
     """Keeps nothing: the answer is sent whole at the end."""
 
-    async def tokens(self, text: str) -> None:
+    async def send_text(self, text: str) -> None:
         """Ignore the text."""
 
 
@@ -51,10 +51,10 @@
     """
 
     def __init__(
-        self, request: web.Request, asked: inbound.ModelRequest
+        self, request: web.Request, model_request: inbound.ModelRequest
     ) -> None:
         self._request = request
-        self._asked = asked
+        self._model_request = model_request
         self._response: web.StreamResponse | None = None
 
     @property
@@ -62,84 +62,89 @@
         """The response, once its headers are sent."""
         return self._response
 
-    async def tokens(self, text: str) -> None:
+    async def send_text(self, text: str) -> None:
         """Send a chunk of text."""
-        await self._write(_chunk(self._asked, text, None))
+        await self._write(_chunk(self._model_request, text, None))
 
     async def end(self, finish: str) -> web.StreamResponse:
         """Send the end of a whole answer."""
-        await self._write(_chunk(self._asked, '', finish))
+        await self._write(_chunk(self._model_request, '', finish))
         return await self._close(b'data: [DONE]\n\n')
 
     async def fail(self, failure: errors.Failure) -> web.StreamResponse:
         """Send a failure in place of the end; no [DONE] follows."""
-        body = error_body(failure, self._asked.headers.request)
+        body = error_body(failure, self._model_request.headers.request)
         return await self._close(b'data: ' + body + b'\n\n')
 
     async def _write(self, chunk: dict[str, typing.Any]) -> None:
-        response = await self._opened()
+        response = await self._open_response()
         line = b'data: ' + msgspec.json.encode(chunk) + b'\n\n'
         await response.write(line)
 
     async def _close(self, last: bytes) -> web.StreamResponse:
-        response = await self._opened()
+        response = await self._open_response()
         await response.write(last)
         await response.write_eof()
         return response
 
-    async def _opened(self) -> web.StreamResponse:
+    async def _open_response(self) -> web.StreamResponse:
         if self._response is None:
             response = web.StreamResponse()
             response.content_type = EVENT_STREAM
             response.headers['Cache-Control'] = 'no-store'
             response.headers[inbound.OUTCOME] = 'streaming'
-            response.headers[inbound.REQUEST_ID] = self._asked.headers.request
+            response.headers[inbound.REQUEST_ID] = (
+                self._model_request.headers.request
+            )
             await response.prepare(self._request)
             self._response = response
         return self._response
 
 
 def _chunk(
-    asked: inbound.ModelRequest, text: str, finish: str | None
+    model_request: inbound.ModelRequest, text: str, finish_reason: str | None
 ) -> dict[str, typing.Any]:
-    choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': finish}
-    if asked.chat:
+    choice: dict[str, typing.Any] = {
+        'index': 0,
+        'finish_reason': finish_reason,
+    }
+    if model_request.chat:
         choice['delta'] = {'content': text} if text else {}
         kind = 'chat.completion.chunk'
     else:
         choice['text'] = text
         kind = 'text_completion'
     chunk: dict[str, typing.Any] = {
-        'id': asked.headers.request,
+        'id': model_request.headers.request,
         'object': kind,
-        'model': asked.service.name,
+        'model': model_request.service.name,
         'choices': [choice],
     }
-    if finish is not None:
+    if finish_reason is not None:
         chunk['galenahatch'] = {'outcome': errors.Outcome.ANSWERED.value}
     return chunk
 
 
-def whole(
-    asked: inbound.ModelRequest, text: str, finish: str, tokens: int
+def completion(
+    model_request: inbound.ModelRequest, text: str, finish: str, tokens: int
 ) -> claim.Answer:
     """Return a whole answer that is not streamed."""
     choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': finish}
-    if asked.chat:
+    if model_request.chat:
         choice['message'] = {'role': 'assistant', 'content': text}
         kind = 'chat.completion'
     else:
         choice['text'] = text
         kind = 'text_completion'
     body = {
-        'id': asked.headers.request,
+        'id': model_request.headers.request,
         'object': kind,
-        'model': asked.service.name,
+        'model': model_request.service.name,
         'choices': [choice],
         'usage': {
-            'prompt_tokens': asked.prompt_tokens,
+            'prompt_tokens': model_request.prompt_tokens,
             'completion_tokens': tokens,
-            'total_tokens': asked.prompt_tokens + tokens,
+            'total_tokens': model_request.prompt_tokens + tokens,
         },
     }
     return claim.Answer(
@@ -147,7 +152,7 @@
     )
 
 
-def models(settings: schema.Config) -> claim.Answer:
+def model_list(settings: schema.Config) -> claim.Answer:
     """Return the list of models that are configured."""
     listed = [
         {
@@ -164,7 +169,9 @@
     )
 
 
-def failed(failure: errors.Failure, request: ids.RequestId) -> claim.Answer:
+def failure_answer(
+    failure: errors.Failure, request: ids.RequestId
+) -> claim.Answer:
     """Return a failure as an answer, to be kept with a claim."""
     return claim.Answer(
         failure.reason.status,
@@ -191,7 +198,7 @@
     return msgspec.json.encode({'error': error})
 
 
-def response_of(
+def build_response(
     answer: claim.Answer,
     request: ids.RequestId,
     retry_after: float | None = None,
@@ -207,21 +214,21 @@
     return response
 
 
-def refusal_of(
+def failure_response(
     failure: errors.Failure, request: ids.RequestId
 ) -> web.Response:
     """Return the HTTP response of a failure."""
-    answer = failed(failure, request)
+    answer = failure_answer(failure, request)
     retry_after = failure.retry_after
     if retry_after is None and failure.reason.status in (409, 429, 503):
         retry_after = 1.0
-    response = response_of(answer, request, retry_after)
+    response = build_response(answer, request, retry_after)
     if failure.ticket:
         response.headers[inbound.TICKET] = failure.ticket
     return response
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredCompletion(msgspec.Struct, frozen=True):
     """Text and finish reason of a stored answer."""
 
     text: str
@@ -242,11 +249,11 @@
     choices: tuple[_StoredChoice, ...]
 
 
-def stored_text(answer: claim.Answer) -> Stored | None:
+def decode_stored_completion(answer: claim.Answer) -> StoredCompletion | None:
     """Return the text of a stored whole answer; None for a failure."""
     if answer.outcome != errors.Outcome.ANSWERED.value:
         return None
     body = msgspec.json.decode(answer.body, type=_StoredBody)
     choice = body.choices[0]
     text = choice.text or choice.message.content
-    return Stored(text, choice.finish_reason)
+    return StoredCompletion(text, choice.finish_reason)
--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -40,8 +40,8 @@
 from galenahatch import states
 from galenahatch.upstream import engine as engine_client
 
-MOST_RESUMES: typing.Final = 3
-_FULL_WAIT: typing.Final = 0.03
+MAX_RESUMES: typing.Final = 3
+_DECODE_RETRY_DELAY_S: typing.Final = 0.03
 _log = logs.Log('attempt')
 
 _NOT_STARTED: typing.Final = frozenset(
@@ -81,7 +81,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Engines:
+class EnginePair:
     """The pair of engines that an attempt runs on."""
 
     prefill: schema.Engine
@@ -106,39 +106,41 @@
 
     def __init__(
         self,
-        means: AttemptContext,
-        asked: inbound.ModelRequest,
+        context: AttemptContext,
+        model_request: inbound.ModelRequest,
         sink: answers.Sink,
         answer: assembly.AnswerAssembler,
         stream: ids.StreamId,
-        engines: Engines,
+        engines: EnginePair,
         arrived_at: float,
     ) -> None:
-        self._means = means
-        self._asked = asked
+        self._context = context
+        self._model_request = model_request
         self._sink = sink
-        self._assembly = answer
+        self._assembler = answer
         self._stream = stream
         self._prefill_engine = engines.prefill
         self._decode_engine = engines.decode
         self._arrived_at = arrived_at
-        once = asked.headers.non_idempotent
+        once = model_request.headers.non_idempotent
         self._client = (
-            means.non_idempotent_session if once else means.idempotent_session
+            context.non_idempotent_session
+            if once
+            else context.idempotent_session
         )
         # Engines that may hold memory of the attempt.
-        self._touched: set[ids.EngineName] = set()
-        self._failed: ids.EngineName | None = None
-        self._began = 0.0
-        self._spent = 0
-        self._first_at = 0.0
+        self._engines_in_use: set[ids.EngineName] = set()
+        self._failed_engine: ids.EngineName | None = None
+        self._started_at = 0.0
+        self._prefilled_tokens = 0
+        self._first_token_at = 0.0
         self._first_offset = 0
-        self.started = False
+        self.maybe_started = False
 
     @property
-    def failed(self) -> ids.EngineName | None:
+    def failed_engine(self) -> ids.EngineName | None:
         """The engine at fault, if one was."""
-        return self._failed
+        return self._failed_engine
 
     async def run(self) -> errors.Failure | None:
         """Run to the end; None when the answer is whole."""
@@ -149,33 +151,33 @@
         if isinstance(stream, errors.Failure):
             if stream.reason is not errors.SEND_INTERRUPTED:
                 return stream
-        return await self._read(stream)
+        return await self._read_stream(stream)
 
     async def _prefill(self) -> errors.Failure | None:
         call = engine_client.PrefillCall(
             stream=self._stream,
-            prompt=self._asked.prompt,
-            generated=tuple(self._assembly.tokens),
-            priority=int(self._asked.urgency),
+            prompt=self._model_request.prompt,
+            generated=tuple(self._assembler.tokens),
+            priority=int(self._model_request.urgency),
         )
-        self._began = clock.now()
-        self._touched.add(self._prefill_engine.name)
-        self.started = True
-        done = await engine_client.prefill(
+        self._started_at = clock.now()
+        self._engines_in_use.add(self._prefill_engine.name)
+        self.maybe_started = True
+        result = await engine_client.prefill(
             self._client, cancelling.url_of(self._prefill_engine), call
         )
-        if isinstance(done, errors.Failure):
-            if done.reason in _NOT_STARTED:
-                self.started = False
-                self._touched.discard(self._prefill_engine.name)
-            return self._blame(self._prefill_engine, done)
-        self._spent = done.prompt_tokens - done.cached_tokens
-        metrics.prefill_spent.add(self._spent)
-        self._means.placement.progress(
+        if isinstance(result, errors.Failure):
+            if result.reason in _NOT_STARTED:
+                self.maybe_started = False
+                self._engines_in_use.discard(self._prefill_engine.name)
+            return self._record_engine_failure(self._prefill_engine, result)
+        self._prefilled_tokens = result.prompt_tokens - result.cached_tokens
+        metrics.prefill_spent.add(self._prefilled_tokens)
+        self._context.placement.progress(
             self._stream,
             states.Stage.TRANSFER,
-            done.cached_tokens,
-            clock.now() - self._began,
+            result.cached_tokens,
+            clock.now() - self._started_at,
         )
         return None
 
@@ -186,30 +188,30 @@
         call = engine_client.DecodeCall(
             stream=self._stream,
             source=cancelling.url_of(self._prefill_engine),
-            max_tokens=self._asked.max_tokens,
-            priority=int(self._asked.urgency),
+            max_tokens=self._model_request.max_tokens,
+            priority=int(self._model_request.urgency),
         )
         url = cancelling.url_of(self._decode_engine)
-        until = clock.now() + self._prefill_engine.eviction_ms / 1000
-        self._touched.add(self._decode_engine.name)
+        retry_until = clock.now() + self._prefill_engine.eviction_ms / 1000
+        self._engines_in_use.add(self._decode_engine.name)
         while True:
             stream = await engine_client.decode(self._client, url, call)
             if not isinstance(stream, errors.Failure):
                 return stream
             refused = stream.reason is errors.UPSTREAM_REFUSED
-            if not refused or clock.now() > until:
+            if not refused or clock.now() > retry_until:
                 if stream.reason in _NOT_STARTED:
-                    self._touched.discard(self._decode_engine.name)
-                return self._blame(self._decode_engine, stream)
-            await asyncio.sleep(_FULL_WAIT)
+                    self._engines_in_use.discard(self._decode_engine.name)
+                return self._record_engine_failure(self._decode_engine, stream)
+            await asyncio.sleep(_DECODE_RETRY_DELAY_S)
 
-    async def _read(
+    async def _read_stream(
         self,
         stream: engine_client.Stream | errors.Failure,
     ) -> errors.Failure | None:
         """Pass tokens on until the end marker, resuming when cut."""
-        self._assembly.expect_stream(self._stream)
-        self._first_offset = self._assembly.offset
+        self._assembler.expect_stream(self._stream)
+        self._first_offset = self._assembler.offset
         resumes = 0
         while True:
             failure: errors.Failure | None
@@ -217,29 +219,33 @@
                 failure = stream
             else:
                 try:
-                    failure = await self._relay(stream)
+                    failure = await self._relay_tokens(stream)
                 finally:
                     stream.close()
             if failure is None or failure.reason is errors.CALLER_GONE:
                 return failure
             if failure.reason is errors.STREAM_GONE:
-                return self._blame(self._decode_engine, failure)
+                return self._record_engine_failure(
+                    self._decode_engine, failure
+                )
             resumes += 1
-            if resumes > MOST_RESUMES:
-                return self._blame(self._decode_engine, failure)
+            if resumes > MAX_RESUMES:
+                return self._record_engine_failure(
+                    self._decode_engine, failure
+                )
             await asyncio.sleep(retry.backoff(resumes, clock.RANDOM))
             resumed = await engine_client.resume(
-                self._means.idempotent_session,
+                self._context.idempotent_session,
                 cancelling.url_of(self._decode_engine),
                 self._stream,
-                self._assembly.offset,
+                self._assembler.offset,
             )
             # No connection for a resume tells nothing about the stream.
             if _is_unreachable(resumed):
                 resumed = failure
             stream = resumed
 
-    async def _relay(
+    async def _relay_tokens(
         self, stream: engine_client.Stream
     ) -> errors.Failure | None:
         """Pass on one connection's tokens; None at the end marker."""
@@ -247,13 +253,13 @@
             events = await stream.read()
             if isinstance(events, errors.Failure):
                 return events
-            before = self._assembly.offset
+            offset_before = self._assembler.offset
             verdict = self._assemble(events)
-            if self._assembly.offset > before:
-                self._note_first()
-                text = ''.join(self._assembly.tokens[before:])
+            if self._assembler.offset > offset_before:
+                self._record_first_token()
+                text = ''.join(self._assembler.tokens[offset_before:])
                 try:
-                    await self._sink.tokens(text)
+                    await self._sink.send_text(text)
                 except ConnectionError:
                     return errors.Failure(errors.CALLER_GONE)
             if verdict is assembly.Verdict.END:
@@ -267,11 +273,11 @@
         """Take events; return the first verdict that ends a reading."""
         for event in events:
             if event.finish:
-                verdict = self._assembly.add_end(
+                verdict = self._assembler.add_end(
                     event.stream, event.offset, event.finish
                 )
             else:
-                verdict = self._assembly.add_token(
+                verdict = self._assembler.add_token(
                     event.stream, event.offset, event.text
                 )
             if verdict is assembly.Verdict.FOREIGN:
@@ -283,28 +289,28 @@
                 return verdict
         return assembly.Verdict.TOKEN
 
-    def _note_first(self) -> None:
-        if self._first_at:
+    def _record_first_token(self) -> None:
+        if self._first_token_at:
             return
-        self._first_at = clock.now()
-        self._means.placement.progress(
+        self._first_token_at = clock.now()
+        self._context.placement.progress(
             self._stream,
             states.Stage.DECODE,
             -1,
-            self._first_at - self._began,
+            self._first_token_at - self._started_at,
         )
         if not self._first_offset:
-            metrics.first_token.record(self._first_at - self._arrived_at)
+            metrics.first_token.record(self._first_token_at - self._arrived_at)
 
     # The end of an attempt.
 
-    def _blame(
+    def _record_engine_failure(
         self,
         engine: schema.Engine,
         failure: errors.Failure,
     ) -> errors.Failure:
         """Note which engine failed."""
-        self._failed = engine.name
+        self._failed_engine = engine.name
         _log.warning(
             'Attempt failed.',
             stream=self._stream,
@@ -314,41 +320,41 @@
         )
         return failure
 
-    def account(self, failure: errors.Failure | None) -> None:
+    def report_end(self, failure: errors.Failure | None) -> None:
         if failure is not None:
-            self.free(failure.reason.name)
+            self.release_engines(failure.reason.name)
             return
-        count = self._assembly.offset - self._first_offset
-        spread = clock.now() - self._first_at
-        pace = spread / (count - 1) if count > 1 else 0.0
-        if pace:
-            metrics.between_tokens.record(pace)
-        self._means.placement.release(
+        count = self._assembler.offset - self._first_offset
+        elapsed = clock.now() - self._first_token_at
+        seconds_per_token = elapsed / (count - 1) if count > 1 else 0.0
+        if seconds_per_token:
+            metrics.between_tokens.record(seconds_per_token)
+        self._context.placement.release(
             messages.Release(
                 self._stream,
                 tokens=count,
-                seconds_per_token=pace,
+                seconds_per_token=seconds_per_token,
                 note=f'answered tokens={count}',
             )
         )
 
-    def free(self, cause: str) -> None:
+    def release_engines(self, cause: str) -> None:
         """Free what an attempt holds at engines, then its reservation."""
-        if self._spent and not self._first_at:
-            metrics.prefill_wasted.add(self._spent)
+        if self._prefilled_tokens and not self._first_token_at:
+            metrics.prefill_wasted.add(self._prefilled_tokens)
         release = messages.Release(
-            self._stream, failed_engine=self._failed, note=cause
+            self._stream, failed_engine=self._failed_engine, note=cause
         )
 
-        def then() -> None:
-            self._means.placement.release(release)
+        def release_reservation() -> None:
+            self._context.placement.release(release)
 
-        if self._touched:
-            self._means.canceller.cancel(
-                self._stream, self._touched, cause, then
+        if self._engines_in_use:
+            self._context.canceller.cancel(
+                self._stream, self._engines_in_use, cause, release_reservation
             )
         else:
-            then()
+            release_reservation()
 
 
 def _is_unreachable(
--- a/galenahatch/bus.py
+++ b/galenahatch/bus.py
@@ -38,14 +38,14 @@
 _RECONNECT_MS: typing.Final = 100
 _RECONNECT_MAX_MS: typing.Final = 2000
 _LINGER_MS: typing.Final = 200
-_PING_EVERY_MS: typing.Final = 500
+_PING_INTERVAL_MS: typing.Final = 500
 _PING_TIMEOUT_MS: typing.Final = 1000
 """A connection that has gone silent without a reset is replaced after so
 long; nothing else shows that it is dead. Gateways beat every 250 ms and take
 a member for away after 800. Without it they asked different owners for up to
 ten seconds after their connections had gone silent."""
-_DROP_LOG_EVERY: typing.Final = 100
-_AT_ONCE: typing.Final = 64
+_FRAMES_PER_DROP_LOG: typing.Final = 100
+_MAX_MESSAGES_PER_READ: typing.Final = 64
 _log = logs.Log('bus')
 
 MAX_FRAME_BYTES: typing.Final = 4 * 1024 * 1024
@@ -63,7 +63,7 @@
     decode: collections.abc.Callable[[bytes], M | errors.Failure]
 
 
-class _Pump:
+class _SocketReader:
     """Reads a socket whenever it has frames, and sends without blocking.
 
     The descriptor of a ZeroMQ socket only tells that its state may have
@@ -77,10 +77,10 @@
     def __init__(
         self,
         socket: zmq.Socket[bytes],
-        take: collections.abc.Callable[[_Frames], None],
+        handler: collections.abc.Callable[[_Frames], None],
     ) -> None:
         self._socket = socket
-        self._take = take
+        self._handler = handler
         self._loop = asyncio.get_running_loop()
         self._closed = False
         self._scheduled = False
@@ -104,55 +104,55 @@
     def _schedule(self) -> None:
         if not self._scheduled and not self._closed:
             self._scheduled = True
-            self._loop.call_soon(self._drain)
+            self._loop.call_soon(self._read_messages)
 
-    def _drain(self) -> None:
+    def _read_messages(self) -> None:
         """Take frames and note the time that it took."""
         self._scheduled = False
-        began = clock.now()
-        taken = self._drain_some()
-        if taken:
-            metrics.control_seconds.add(clock.now() - began)
-        if taken == _AT_ONCE:
+        started_at = clock.now()
+        count = self._read_batch()
+        if count:
+            metrics.control_seconds.add(clock.now() - started_at)
+        if count == _MAX_MESSAGES_PER_READ:
             self._schedule()
 
-    def _drain_some(self) -> int:
+    def _read_batch(self) -> int:
         """Take frames until there are none, some at most; return how many."""
-        for taken in range(_AT_ONCE):
+        for count in range(_MAX_MESSAGES_PER_READ):
             if self._closed:
-                return taken
+                return count
             try:
                 parts = self._socket.recv_multipart(zmq.NOBLOCK)
             except zmq.ZMQError:
-                return taken
-            self._take(parts)
-        return _AT_ONCE
+                return count
+            self._handler(parts)
+        return _MAX_MESSAGES_PER_READ
 
 
-class _Inbox(typing.Generic[M]):
+class _FrameDecoder(typing.Generic[M]):
     """Decodes frames and hands messages on."""
 
     def __init__(self, codec: Codec[M]) -> None:
         self._codec = codec
-        self._drops = 0
+        self._dropped_count = 0
 
     def decode(self, frame: bytes) -> M | None:
         """Return the message of a frame; None if it was dropped."""
         message = self._codec.decode(frame)
         if isinstance(message, errors.Failure):
-            self.drop(message)
+            self.count_dropped(message)
             return None
         return message
 
-    def drop(self, failure: errors.Failure) -> None:
+    def count_dropped(self, failure: errors.Failure) -> None:
         """Count a dropped frame and log now and then."""
         metrics.frames_dropped.add(1, {'reason': failure.reason.name})
-        if self._drops % _DROP_LOG_EVERY == 0:
+        if self._dropped_count % _FRAMES_PER_DROP_LOG == 0:
             _log.warning('Frame dropped.', detail=failure.detail)
-        self._drops += 1
+        self._dropped_count += 1
 
 
-def _limited(
+def _create_socket(
     context: zmq.Context[zmq.Socket[bytes]], kind: int
 ) -> zmq.Socket[bytes]:
     """Return a socket with bounded queues and frames."""
@@ -161,7 +161,7 @@
     socket.setsockopt(zmq.SNDHWM, _QUEUE_FRAMES)
     socket.setsockopt(zmq.RCVHWM, _QUEUE_FRAMES)
     socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
-    socket.setsockopt(zmq.HEARTBEAT_IVL, _PING_EVERY_MS)
+    socket.setsockopt(zmq.HEARTBEAT_IVL, _PING_INTERVAL_MS)
     socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _PING_TIMEOUT_MS)
     return socket
 
@@ -186,29 +186,29 @@
         codec: Codec[M],
         handler: collections.abc.Callable[[M], None],
     ) -> None:
-        socket = _limited(context(), zmq.DEALER)
+        socket = _create_socket(context(), zmq.DEALER)
         socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MS)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_MS)
         socket.connect(endpoint)
         self._handler = handler
         self._codec = codec
-        self._inbox = _Inbox(codec)
-        self._pump = _Pump(socket, self._take)
+        self._decoder = _FrameDecoder(codec)
+        self._reader = _SocketReader(socket, self._receive)
 
     def send(self, message: M) -> None:
         """Queue a message; dropped when the peer is long away."""
         frame = self._codec.encode(message)
         metrics.control_bytes.add(len(frame))
-        self._pump.send([frame])
+        self._reader.send([frame])
 
     def close(self) -> None:
         """Close the socket."""
-        self._pump.close()
+        self._reader.close()
 
-    def _take(self, parts: _Frames) -> None:
-        message = self._inbox.decode(parts[-1])
+    def _receive(self, parts: _Frames) -> None:
+        message = self._decoder.decode(parts[-1])
         if message is not None:
-            _guarded(self._handler, message)
+            _call_handler(self._handler, message)
 
 
 class Hub(typing.Generic[M]):
@@ -226,36 +226,40 @@
         codec: Codec[M],
         handler: collections.abc.Callable[[Peer, M], None],
     ) -> None:
-        socket = _limited(context(), zmq.ROUTER)
+        socket = _create_socket(context(), zmq.ROUTER)
         socket.bind(endpoint)
         self._handler = handler
         self._codec = codec
-        self._inbox = _Inbox(codec)
-        self._pump = _Pump(socket, self._take)
+        self._decoder = _FrameDecoder(codec)
+        self._reader = _SocketReader(socket, self._receive)
 
     def send(self, peer: Peer, message: M) -> None:
         """Queue an answer; dropped when the peer is away."""
         frame = self._codec.encode(message)
         metrics.control_bytes.add(len(frame))
-        self._pump.send([peer, frame])
+        self._reader.send([peer, frame])
 
     def close(self) -> None:
         """Close the socket."""
-        self._pump.close()
+        self._reader.close()
 
-    def _take(self, parts: _Frames) -> None:
+    def _receive(self, parts: _Frames) -> None:
         if len(parts) != 2:
             detail = f'{len(parts)} parts'
-            self._inbox.drop(errors.Failure(errors.BAD_FRAME, detail))
+            self._decoder.count_dropped(
+                errors.Failure(errors.BAD_FRAME, detail)
+            )
             return
-        message = self._inbox.decode(parts[1])
+        message = self._decoder.decode(parts[1])
         if message is None:
             return
         peer = Peer(parts[0])
-        _guarded(lambda taken: self._handler(peer, taken), message)
+        _call_handler(lambda decoded: self._handler(peer, decoded), message)
 
 
-def _guarded(handler: collections.abc.Callable[[M], None], message: M) -> None:
+def _call_handler(
+    handler: collections.abc.Callable[[M], None], message: M
+) -> None:
     """Call a handler; its failure must not end the reading."""
     try:
         handler(message)
--- a/galenahatch/cancelling.py
+++ b/galenahatch/cancelling.py
@@ -34,8 +34,8 @@
 from galenahatch import tasks
 from galenahatch.upstream import engine as engine_client
 
-ABSENT_TRIES: typing.Final = 5
-_SETTLE: typing.Final = 0.5
+MAX_ABSENT_ATTEMPTS: typing.Final = 5
+_SECOND_CANCEL_DELAY_S: typing.Final = 0.5
 _log = logs.Log('cancel')
 
 FindEngine = collections.abc.Callable[[ids.EngineName], schema.Engine | None]
@@ -53,25 +53,25 @@
     def __init__(
         self,
         client: aiohttp.ClientSession,
-        find: FindEngine,
-        owner: tasks.Tasks,
+        find_engine: FindEngine,
+        task_group: tasks.Tasks,
     ) -> None:
         self._client = client
-        self._find = find
-        self._owner = owner
-        self._open: set[ids.StreamId] = set()
+        self._find_engine = find_engine
+        self._tasks = task_group
+        self._pending: set[ids.StreamId] = set()
 
     @property
-    def open(self) -> int:
+    def pending_count(self) -> int:
         """Streams whose cancel is not confirmed yet."""
-        return len(self._open)
+        return len(self._pending)
 
     def cancel(
         self,
         stream: ids.StreamId,
         engines: collections.abc.Iterable[ids.EngineName],
         cause: str,
-        then: collections.abc.Callable[[], None],
+        on_confirmed: collections.abc.Callable[[], None],
     ) -> None:
         """Cancel a stream on some engines.
 
@@ -81,41 +81,41 @@
             cause: for the log.
             then: called when all engines confirmed.
         """
-        if stream in self._open:
+        if stream in self._pending:
             return
-        self._open.add(stream)
+        self._pending.add(stream)
         metrics.cancels.add(1, {'cause': cause})
         names = sorted(set(engines))
-        self._owner.once(self._cancel_all(stream, names, cause, then))
+        self._tasks.once(self._cancel_all(stream, names, cause, on_confirmed))
 
     async def _cancel_all(
         self,
         stream: ids.StreamId,
         engines: list[ids.EngineName],
         cause: str,
-        then: collections.abc.Callable[[], None],
+        on_confirmed: collections.abc.Callable[[], None],
     ) -> None:
-        began = clock.now()
-        jobs = [self._cancel_one(stream, engine) for engine in engines]
-        await asyncio.gather(*jobs)
-        self._open.discard(stream)
+        started_at = clock.now()
+        cancels = [self._cancel_one(stream, engine) for engine in engines]
+        await asyncio.gather(*cancels)
+        self._pending.discard(stream)
         _log.info(
             'Stream cancelled.',
             stream=stream,
             cause=cause,
-            seconds=clock.now() - began,
+            seconds=clock.now() - started_at,
         )
-        then()
-        await asyncio.sleep(_SETTLE)
+        on_confirmed()
+        await asyncio.sleep(_SECOND_CANCEL_DELAY_S)
         await asyncio.gather(*(self._cancel_one(stream, e) for e in engines))
 
     async def _cancel_one(
         self, stream: ids.StreamId, name: ids.EngineName
     ) -> None:
         attempt = 0
-        absent = 0
-        while absent < ABSENT_TRIES:
-            engine = self._find(name)
+        absent_count = 0
+        while absent_count < MAX_ABSENT_ATTEMPTS:
+            engine = self._find_engine(name)
             result = engine_client.Cancelled.ABSENT
             if engine is not None:
                 result = await engine_client.cancel(
@@ -124,7 +124,7 @@
             if result is engine_client.Cancelled.CONFIRMED:
                 return
             is_absent = result is engine_client.Cancelled.ABSENT
-            absent = absent + 1 if is_absent else 0
+            absent_count = absent_count + 1 if is_absent else 0
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
 
--- a/galenahatch/claimclient.py
+++ b/galenahatch/claimclient.py
@@ -38,13 +38,13 @@
 from galenahatch import states
 from galenahatch import tasks
 
-WRITERS: typing.Final = 2
+MAX_WRITERS: typing.Final = 2
 """Schedulers of a region that write claims; bounds the writes a second."""
-_ASK_HOLDER_SECONDS: typing.Final = 1.0
-_REPLY_SECONDS: typing.Final = 5.0
-_RETRY_AFTER: typing.Final = 2.0
+_HOLDER_TIMEOUT_S: typing.Final = 1.0
+_REPLY_TIMEOUT_S: typing.Final = 5.0
+_RETRY_AFTER_S: typing.Final = 2.0
 _log = logs.Log('claiming')
-_ANSWER: typing.Final = msgspec.msgpack.Decoder(claim.Answer)
+_ANSWER_DECODER: typing.Final = msgspec.msgpack.Decoder(claim.Answer)
 
 Reply = messages.ClaimReply | messages.VoidReply | messages.DoneReply
 
@@ -80,32 +80,32 @@
     def __init__(
         self,
         peers: peers_module.Peers,
-        stored: objects.Objects,
-        owner: tasks.Tasks,
+        object_store: objects.Objects,
+        task_group: tasks.Tasks,
         timeout: float,
     ) -> None:
         self._peers = peers
-        self._objects = stored
-        self._owner = owner
+        self._objects = object_store
+        self._tasks = task_group
         self._timeout = timeout
-        self._holdings = claim.ClaimTokens()
+        self._tokens = claim.ClaimTokens()
         self._replies: dict[ids.ClaimToken, asyncio.Future[Reply]] = {}
         self._queries: dict[
             ids.ClaimToken, asyncio.Future[messages.ClaimAnswer]
         ] = {}
-        self._voiding: dict[ids.ClaimToken, Claimed] = {}
+        self._pending_removals: dict[ids.ClaimToken, Claimed] = {}
 
     @property
-    def open(self) -> int:
+    def unsettled_count(self) -> int:
         """Claims whose fate is not in the table yet."""
-        return self._holdings.count_unsettled() + len(self._voiding)
+        return self._tokens.count_unsettled() + len(self._pending_removals)
 
     async def acquire(
         self, key: ids.ClaimKey, fingerprint: str
     ) -> Claimed | claim.Answer | errors.Failure:
         """Claim a key for one run."""
         token = ids.ClaimToken(clock.token())
-        self._holdings.add_pending(token)
+        self._tokens.add_pending(token)
         request = messages.ClaimRequest(
             key,
             token,
@@ -118,7 +118,7 @@
         )
         claimed = Claimed(key, record)
         try:
-            reply = await self._ask(key, request, self._timeout)
+            reply = await self._send_to_writer(key, request, self._timeout)
         except asyncio.CancelledError:
             self.abandon(claimed)
             raise
@@ -127,19 +127,19 @@
             if reply.status is states.ClaimStatus.MINE:
                 return claimed
             if reply.status is states.ClaimStatus.OTHERS:
-                self._holdings.forget(token)
-                return await self._taken(reply, fingerprint)
+                self._tokens.forget(token)
+                return await self._resolve_existing(reply, fingerprint)
         self.abandon(claimed)
         # Only a table that was read vouches for a key that never ran.
         absent = reply is not None and (
             reply.status is states.ClaimStatus.ABSENT
         )
         reason = errors.CLAIM_UNCONFIRMED if absent else errors.CLAIM_UNREAD
-        return errors.Failure(reason, retry_after=_RETRY_AFTER)
+        return errors.Failure(reason, retry_after=_RETRY_AFTER_S)
 
-    def dispatch(self, claimed: Claimed) -> bool:
+    def try_dispatch(self, claimed: Claimed) -> bool:
         """Return whether the work may be sent now, once."""
-        return self._holdings.try_dispatch(claimed.token)
+        return self._tokens.try_dispatch(claimed.token)
 
     def abandon(self, claimed: Claimed, not_started: bool = False) -> None:
         """Give a claim up and remove it in the background.
@@ -150,28 +150,28 @@
                 it was dispatched.
         """
         if not_started:
-            self._holdings.abandon_dispatched(claimed.token)
-        elif not self._holdings.abandon(claimed.token):
+            self._tokens.abandon_dispatched(claimed.token)
+        elif not self._tokens.abandon(claimed.token):
             return
-        self._void(claimed)
+        self._remove_in_background(claimed)
 
     def finish(self, claimed: Claimed, answer: claim.Answer) -> None:
         """Keep an answer and store it in the background."""
-        self._holdings.finish(claimed.token, answer)
-        self._owner.once(self._store(claimed, answer))
+        self._tokens.finish(claimed.token, answer)
+        self._tasks.once(self._store_until_confirmed(claimed, answer))
 
-    def take(self, message: messages.AnyMessage) -> None:
+    def handle_message(self, message: messages.AnyMessage) -> None:
         """Take a message about claims from a scheduler."""
         if isinstance(message, messages.ClaimQuery):
             self._answer_query(message)
         elif isinstance(message, messages.ClaimAnswer):
-            self._take_answer(message)
+            self._handle_claim_answer(message)
         elif isinstance(message, Reply):
             future = self._replies.get(message.token)
             if future is not None and not future.done():
                 future.set_result(message)
 
-    def _take_answer(self, message: messages.ClaimAnswer) -> None:
+    def _handle_claim_answer(self, message: messages.ClaimAnswer) -> None:
         """Take what a scheduler or the holder says of a claim.
 
         Every scheduler is asked, and one that has no word of the holder
@@ -185,7 +185,7 @@
 
     # Talk with the claim writers.
 
-    async def _ask(
+    async def _send_to_writer(
         self,
         key: ids.ClaimKey,
         message: messages.ClaimRequest
@@ -211,10 +211,12 @@
     def _writer(self, key: ids.ClaimKey) -> ids.MemberId | None:
         """Return the scheduler that writes a key."""
         live = self._peers.schedulers()
-        writers = rendezvous.rank('claims', live)[:WRITERS]
+        writers = rendezvous.rank('claims', live)[:MAX_WRITERS]
         return rendezvous.winner(key, writers)
 
-    async def _store(self, claimed: Claimed, answer: claim.Answer) -> None:
+    async def _store_until_confirmed(
+        self, claimed: Claimed, answer: claim.Answer
+    ) -> None:
         """Store an answer until the table has it."""
         object_key = ''
         attempt = 0
@@ -224,43 +226,47 @@
             while await self._objects.put(object_key, body) is not None:
                 attempt += 1
                 await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        done = claim.finished_record(claimed.record, answer, object_key)
+        finished = claim.finished_record(claimed.record, answer, object_key)
         message = messages.ClaimDone(
             claimed.key,
             claimed.token,
             claim.encode(claimed.record),
-            claim.encode(done),
+            claim.encode(finished),
         )
         while True:
-            reply = await self._ask(claimed.key, message, _REPLY_SECONDS)
+            reply = await self._send_to_writer(
+                claimed.key, message, _REPLY_TIMEOUT_S
+            )
             if isinstance(reply, messages.DoneReply) and reply.stored:
                 break
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        self._holdings.forget(claimed.token)
+        self._tokens.forget(claimed.token)
 
-    def _void(self, claimed: Claimed) -> None:
-        if claimed.token not in self._voiding:
-            self._voiding[claimed.token] = claimed
-            self._owner.once(self._remove(claimed))
+    def _remove_in_background(self, claimed: Claimed) -> None:
+        if claimed.token not in self._pending_removals:
+            self._pending_removals[claimed.token] = claimed
+            self._tasks.once(self._remove_until_confirmed(claimed))
 
-    async def _remove(self, claimed: Claimed) -> None:
+    async def _remove_until_confirmed(self, claimed: Claimed) -> None:
         """Remove a claim until the table no longer has it."""
         message = messages.ClaimVoid(
             claimed.key, claimed.token, claim.encode(claimed.record)
         )
         attempt = 0
         while True:
-            reply = await self._ask(claimed.key, message, _REPLY_SECONDS)
+            reply = await self._send_to_writer(
+                claimed.key, message, _REPLY_TIMEOUT_S
+            )
             if isinstance(reply, messages.VoidReply) and reply.removed:
                 break
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        self._voiding.pop(claimed.token, None)
+        self._pending_removals.pop(claimed.token, None)
 
     # Keys that another claim holds.
 
-    async def _taken(
+    async def _resolve_existing(
         self, reply: messages.ClaimReply, fingerprint: str
     ) -> claim.Answer | errors.Failure:
         record = claim.decode(reply.record)
@@ -270,14 +276,14 @@
         if verdict is claim.Arrival.REUSED:
             return errors.Failure(errors.KEY_REUSED)
         if verdict is claim.Arrival.REPLAY:
-            return await self._stored(record)
-        state = await self._state_of(reply.key, record)
+            return await self._load_stored_answer(record)
+        state = await self._holder_state(reply.key, record)
         if isinstance(state, claim.Answer):
             return state
         _log.info('Key is taken.', key=reply.key, state=state.value)
-        return _while_taken(state)
+        return _existing_claim_failure(state)
 
-    async def _stored(
+    async def _load_stored_answer(
         self, record: claim.Record
     ) -> claim.Answer | errors.Failure:
         if record.answer is not None:
@@ -288,14 +294,14 @@
             return errors.Failure(errors.STORE_UNAVAILABLE, detail, 2.0)
         return _decode_answer(body)
 
-    async def _state_of(
+    async def _holder_state(
         self, key: ids.ClaimKey, record: claim.Record
     ) -> states.HolderState | claim.Answer:
         """Return what the holder of a claim says of it."""
-        mine = (self._peers.member, self._peers.incarnation)
-        if (record.holder, record.incarnation) == mine:
+        own_identity = (self._peers.member, self._peers.incarnation)
+        if (record.holder, record.incarnation) == own_identity:
             return self._own_state(record, key)
-        reply = await self._ask_holder(key, record)
+        reply = await self._query_holder(key, record)
         if reply is None:
             return states.HolderState.SILENT
         if reply.state is states.HolderState.FINISHED:
@@ -304,7 +310,7 @@
                 return answer
         return reply.state
 
-    async def _ask_holder(
+    async def _query_holder(
         self, key: ids.ClaimKey, record: claim.Record
     ) -> messages.ClaimAnswer | None:
         query = messages.ClaimQuery(
@@ -322,7 +328,7 @@
         self._peers.broadcast(query)
         try:
             with contextlib.suppress(asyncio.TimeoutError):
-                async with asyncio.timeout(_ASK_HOLDER_SECONDS):
+                async with asyncio.timeout(_HOLDER_TIMEOUT_S):
                     return await asyncio.shield(future)
             return None
         finally:
@@ -331,50 +337,52 @@
     def _own_state(
         self, record: claim.Record, key: ids.ClaimKey
     ) -> states.HolderState | claim.Answer:
-        answer = self._holdings.answer(record.token)
+        answer = self._tokens.answer(record.token)
         if answer is not None:
             return answer
-        hold = self._holdings.state(record.token)
-        if hold is claim.Hold.ABANDONED:
-            self._void(Claimed(key, record))
+        token_state = self._tokens.state(record.token)
+        if token_state is claim.Hold.ABANDONED:
+            self._remove_in_background(Claimed(key, record))
             return states.HolderState.ABANDONED
-        if hold is None:
+        if token_state is None:
             return states.HolderState.FORGOTTEN
         return states.HolderState.RUNNING
 
     def _answer_query(self, query: messages.ClaimQuery) -> None:
         """Answer another entry's question about a token of this one."""
-        hold = self._holdings.state(query.token)
-        known = {
+        token_state = self._tokens.state(query.token)
+        reported_states = {
             claim.Hold.PENDING: states.HolderState.RUNNING,
             claim.Hold.RUNNING: states.HolderState.RUNNING,
             claim.Hold.FINISHED: states.HolderState.FINISHED,
             claim.Hold.ABANDONED: states.HolderState.ABANDONED,
             None: states.HolderState.FORGOTTEN,
         }
-        if hold is claim.Hold.ABANDONED:
+        if token_state is claim.Hold.ABANDONED:
             record = claim.decode(query.record)
             if isinstance(record, claim.Record):
-                self._void(Claimed(query.key, record))
-        answer = self._holdings.answer(query.token)
+                self._remove_in_background(Claimed(query.key, record))
+        answer = self._tokens.answer(query.token)
         body = msgspec.msgpack.encode(answer) if answer else b''
         reply = messages.ClaimAnswer(
-            query.token, query.requester, known[hold], body
+            query.token, query.requester, reported_states[token_state], body
         )
         self._peers.broadcast(reply)
 
 
 def _decode_answer(body: bytes) -> claim.Answer | errors.Failure:
     try:
-        return _ANSWER.decode(body)
+        return _ANSWER_DECODER.decode(body)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_FRAME, str(error))
 
 
-def _while_taken(state: states.HolderState) -> errors.Failure:
+def _existing_claim_failure(state: states.HolderState) -> errors.Failure:
     """Return what a second arrival is told."""
     if state is states.HolderState.ABANDONED:
-        return errors.Failure(errors.CLAIM_ABANDONED, retry_after=_RETRY_AFTER)
+        return errors.Failure(
+            errors.CLAIM_ABANDONED, retry_after=_RETRY_AFTER_S
+        )
     if state is states.HolderState.GONE:
         return errors.Failure(errors.HOLDER_GONE)
-    return errors.Failure(errors.IN_FLIGHT, state.value, _RETRY_AFTER)
+    return errors.Failure(errors.IN_FLIGHT, state.value, _RETRY_AFTER_S)
--- a/galenahatch/claimwriter.py
+++ b/galenahatch/claimwriter.py
@@ -33,16 +33,16 @@
 from galenahatch import metrics
 from galenahatch.platform import table
 
-MOST_IN_GROUP: typing.Final = 200
-_GROUPS_AT_ONCE: typing.Final = 4
-_TRIES: typing.Final = 4
+MAX_GROUP_SIZE: typing.Final = 200
+_MAX_CONCURRENT_GROUPS: typing.Final = 4
+_MAX_COMMIT_ATTEMPTS: typing.Final = 4
 _log = logs.Log('claims')
 
 Send = collections.abc.Callable[[messages.AnyMessage], None]
 
 
 @dataclasses.dataclass(frozen=True)
-class Order:
+class PendingOperation:
     """One operation on a key, and how to answer it."""
 
     operation: claimwrites.Operation
@@ -60,103 +60,126 @@
     def __init__(self, store: table.Table, group_seconds: float) -> None:
         self._table = store
         self._group_seconds = group_seconds
-        self._inbox: asyncio.Queue[Order] = asyncio.Queue()
-        self._slots = asyncio.Semaphore(_GROUPS_AT_ONCE)
+        self._queue: asyncio.Queue[PendingOperation] = asyncio.Queue()
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_GROUPS)
         self._groups: set[asyncio.Task[None]] = set()
-        self._open = 0
+        self._unanswered_count = 0
 
     @property
-    def open(self) -> int:
+    def unanswered_count(self) -> int:
         """Operations that are not answered yet."""
-        return self._open
+        return self._unanswered_count
 
     def submit(self, operation: claimwrites.Operation, send: Send) -> None:
         """Put an operation into the inbox."""
-        self._open += 1
-        self._inbox.put_nowait(Order(operation, send))
+        self._unanswered_count += 1
+        self._queue.put_nowait(PendingOperation(operation, send))
 
     async def run(self) -> None:
         """Collect and commit groups until cancelled."""
         while True:
-            orders = [await self._inbox.get()]
+            group = [await self._queue.get()]
             await self._slots.acquire()
             await asyncio.sleep(self._group_seconds)
-            while not self._inbox.empty() and len(orders) < MOST_IN_GROUP:
-                orders.append(self._inbox.get_nowait())
-            task = asyncio.create_task(self._work(orders))
+            while not self._queue.empty() and len(group) < MAX_GROUP_SIZE:
+                group.append(self._queue.get_nowait())
+            task = asyncio.create_task(self._commit_group(group))
             self._groups.add(task)
             task.add_done_callback(self._groups.discard)
 
-    async def _work(self, orders: list[Order]) -> None:
+    async def _commit_group(self, group: list[PendingOperation]) -> None:
         try:
-            await self._commit(self._one_per_key(orders))
+            await self._commit(self._split_by_key(group))
         finally:
             self._slots.release()
 
-    def _one_per_key(self, orders: list[Order]) -> dict[ids.ClaimKey, Order]:
+    def _split_by_key(
+        self, group: list[PendingOperation]
+    ) -> dict[ids.ClaimKey, PendingOperation]:
         """Return the first operation of each key; later ones wait."""
-        chosen: dict[ids.ClaimKey, Order] = {}
-        for order in orders:
-            if order.operation.key in chosen:
-                self._inbox.put_nowait(order)
+        first_by_key: dict[ids.ClaimKey, PendingOperation] = {}
+        for pending_operation in group:
+            if pending_operation.operation.key in first_by_key:
+                self._queue.put_nowait(pending_operation)
             else:
-                chosen[order.operation.key] = order
-        return chosen
+                first_by_key[pending_operation.operation.key] = (
+                    pending_operation
+                )
+        return first_by_key
 
-    async def _commit(self, pending: dict[ids.ClaimKey, Order]) -> None:
-        for _ in range(_TRIES):
+    async def _commit(
+        self, pending: dict[ids.ClaimKey, PendingOperation]
+    ) -> None:
+        for _ in range(_MAX_COMMIT_ATTEMPTS):
             if not pending:
                 return
-            change = claimwrites.build_transaction(
-                [order.operation for order in pending.values()]
+            operations_transaction = claimwrites.build_transaction(
+                [
+                    pending_operation.operation
+                    for pending_operation in pending.values()
+                ]
             )
             metrics.claim_groups.add(1)
-            result = await self._table.commit(change)
+            result = await self._table.commit(operations_transaction)
             if isinstance(result, transaction.Conflict):
-                self._settle_conflicts(pending, result.current)
+                self._answer_conflicts(pending, result.current)
             elif isinstance(result, errors.Failure):
                 await self._read_back(pending)
                 return
             else:
-                for order in pending.values():
+                for pending_operation in pending.values():
                     self._answer(
-                        order, claimwrites.committed_reply(order.operation)
+                        pending_operation,
+                        claimwrites.committed_reply(
+                            pending_operation.operation
+                        ),
                     )
                 return
         await self._read_back(pending)
 
-    def _settle_conflicts(
+    def _answer_conflicts(
         self,
-        pending: dict[ids.ClaimKey, Order],
+        pending: dict[ids.ClaimKey, PendingOperation],
         current: collections.abc.Mapping[str, bytes | None],
     ) -> None:
         for name, value in current.items():
-            order = pending.pop(claimwrites.claim_key_from(name), None)
-            if order is not None:
+            pending_operation = pending.pop(
+                claimwrites.claim_key_from(name), None
+            )
+            if pending_operation is not None:
                 self._answer(
-                    order, claimwrites.conflict_reply(order.operation, value)
+                    pending_operation,
+                    claimwrites.conflict_reply(
+                        pending_operation.operation, value
+                    ),
                 )
 
-    async def _read_back(self, pending: dict[ids.ClaimKey, Order]) -> None:
+    async def _read_back(
+        self, pending: dict[ids.ClaimKey, PendingOperation]
+    ) -> None:
         """Answer from what the table holds, if it can be read."""
         names = [claimwrites.table_key(key) for key in pending]
         values = await self._table.read(names)
-        for key, order in pending.items():
+        for key, pending_operation in pending.items():
             if isinstance(values, errors.Failure):
                 self._answer(
-                    order, claimwrites.unconfirmed_reply(order.operation)
+                    pending_operation,
+                    claimwrites.unconfirmed_reply(pending_operation.operation),
                 )
                 continue
             value = values.get(claimwrites.table_key(key))
             self._answer(
-                order, claimwrites.readback_reply(order.operation, value)
+                pending_operation,
+                claimwrites.readback_reply(pending_operation.operation, value),
             )
 
-    def _answer(self, order: Order, reply: messages.AnyMessage) -> None:
-        self._open -= 1
+    def _answer(
+        self, pending_operation: PendingOperation, reply: messages.AnyMessage
+    ) -> None:
+        self._unanswered_count -= 1
         if isinstance(reply, messages.ClaimReply):
             metrics.claims.add(1, {'status': reply.status.value})
             _log.info(
                 'Claim answered.', key=reply.key, status=reply.status.value
             )
-        order.send(reply)
+        pending_operation.send(reply)
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -39,14 +39,14 @@
 import msgspec
 
 LEASE_KEY: typing.Final = 'lease/controller'
-LONGEST_ORDER: typing.Final = 2.5
-_RENEWALS: typing.Final = 6
-_LOOK: typing.Final = 1.0
-READS_A_SECOND: typing.Final = 150
+MAX_ORDER_S: typing.Final = 2.5
+_RENEWALS_PER_LEASE: typing.Final = 6
+_RECONCILE_INTERVAL_S: typing.Final = 1.0
+MAX_READS_PER_SECOND: typing.Final = 150
 """Engines that are read back a second, so that reading stays cheap."""
-_AT_ONCE: typing.Final = 32
+_MAX_CONCURRENT_READS: typing.Final = 32
 _log = logs.Log('controller')
-_RECORD: typing.Final = msgspec.msgpack.Decoder(lease_module.Record)
+_RECORD_DECODER: typing.Final = msgspec.msgpack.Decoder(lease_module.Record)
 
 
 class Controller(application.Daemon):
@@ -55,25 +55,28 @@
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.CONTROLLER, _ignore)
+        self.open(states.Role.CONTROLLER, _ignore_message)
         self._lease = lease_module.Lease(
             self.peers.member,
             self.peers.incarnation,
             options.lease,
-            LONGEST_ORDER,
+            MAX_ORDER_S,
         )
-        self._stored: bytes | None = None
-        self._read_at = 0.0
-        self._seen = ids.Revision(0)
-        self._slots = asyncio.Semaphore(_AT_ONCE)
-        self.peers.on_heartbeat(self._note_ready)
+        self._stored_lease: bytes | None = None
+        self._next_read_at = 0.0
+        self._reconciled_revision = ids.Revision(0)
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
+        self.peers.on_heartbeat(self._update_readiness)
         self.join()
-        pause = options.lease / _RENEWALS
+        pause = options.lease / _RENEWALS_PER_LEASE
         self.tasks.keep(
             'lease', lambda: tasks.every(lambda: pause, self._renew)
         )
         self.tasks.keep(
-            'orders', lambda: tasks.every(lambda: _LOOK, self._repair)
+            'orders',
+            lambda: tasks.every(
+                lambda: _RECONCILE_INTERVAL_S, self._reconcile
+            ),
         )
         app = web.Application()
         app.add_routes(application.health_routes(self._not_ready_reason))
@@ -89,13 +92,13 @@
         self.peers.broadcast(self.peers.heartbeat())
         await self.tasks.stop()
         if was_holder:
-            await self._give_up()
+            await self._delete_lease()
         await self.close()
 
     def _not_ready_reason(self) -> str:
         return '' if self.config.revision else 'no configuration'
 
-    def _note_ready(self) -> None:
+    def _update_readiness(self) -> None:
         self.peers.not_ready_reason = self._not_ready_reason()
         self.peers.load = int(self._lease.is_holder(clock.now()))
 
@@ -104,79 +107,86 @@
         values = await self.table.read([LEASE_KEY])
         if isinstance(values, errors.Failure):
             return
-        self._stored = values.get(LEASE_KEY)
-        self._lease.observe(_decode(self._stored), clock.now())
+        self._stored_lease = values.get(LEASE_KEY)
+        self._lease.observe(_decode(self._stored_lease), clock.now())
         proposal = self._lease.propose(clock.now())
         if proposal is None:
             return
-        began = clock.now()
+        sent_at = clock.now()
         data = msgspec.msgpack.encode(proposal)
-        done = await self.table.commit(_swap(self._stored, data))
+        done = await self.table.commit(
+            _compare_and_swap(self._stored_lease, data)
+        )
         if isinstance(done, transaction.Committed):
-            before = self._lease.fencing
-            self._lease.record_accepted(proposal, began, clock.now())
-            self._stored = data
-            if before != proposal.fencing:
+            previous_fencing = self._lease.fencing
+            self._lease.record_accepted(proposal, sent_at, clock.now())
+            self._stored_lease = data
+            if previous_fencing != proposal.fencing:
                 _log.info('Lease taken.', fencing=proposal.fencing)
 
-    async def _give_up(self) -> None:
+    async def _delete_lease(self) -> None:
         """Delete the lease, so that a standby need not wait it out."""
-        if self._stored is not None:
-            await self.table.commit(_swap(self._stored, None))
+        if self._stored_lease is not None:
+            await self.table.commit(
+                _compare_and_swap(self._stored_lease, None)
+            )
 
-    async def _repair(self) -> None:
+    async def _reconcile(self) -> None:
         """Read engines back and order what differs from what is wanted.
 
         Many engines are read less often, but at once after a change.
         """
-        settings = self._declared()
+        settings = self._merged_config()
         now = clock.now()
         if settings is None or not self._lease.may_send_orders(now):
             return
-        if now < self._read_at and self._seen == self.config.revision:
+        if (
+            now < self._next_read_at
+            and self._reconciled_revision == self.config.revision
+        ):
             return
-        self._seen = self.config.revision
-        pause = len(settings.engines) / READS_A_SECOND
-        self._read_at = now + max(_LOOK, pause)
+        self._reconciled_revision = self.config.revision
+        pause = len(settings.engines) / MAX_READS_PER_SECOND
+        self._next_read_at = now + max(_RECONCILE_INTERVAL_S, pause)
         observed = await self._observe(settings.engines)
-        wanted = orders.desired_orders(settings)
+        desired = orders.desired_orders(settings)
         engines = {engine.name: engine for engine in settings.engines}
-        for send in orders.plan_orders(wanted, observed):
+        for planned in orders.plan_orders(desired, observed):
             if not self._lease.may_send_orders(clock.now()):
                 return
-            await self._order(engines[send.engine], send)
+            await self._send_order(engines[planned.engine], planned)
 
-    async def _order(
-        self, engine: schema.Engine, send: orders.PlannedOrder
+    async def _send_order(
+        self, engine: schema.Engine, planned: orders.PlannedOrder
     ) -> None:
         failure = await engine_client.order(
             self.engines,
             cancelling.url_of(engine),
-            send.order,
+            planned.order,
             self._lease.fencing,
         )
         _log.info(
             'Order sent.',
             engine=engine.name,
-            model=send.order.model,
-            version=send.order.version,
-            role=send.order.role,
+            model=planned.order.model,
+            version=planned.order.version,
+            role=planned.order.role,
             fencing=self._lease.fencing,
-            why=send.why,
+            why=planned.why,
             result=failure.reason.name if failure else 'taken',
         )
 
     async def _observe(
         self, engines: tuple[schema.Engine, ...]
     ) -> dict[ids.EngineName, orders.Order]:
-        found = await asyncio.gather(*(self._read(e) for e in engines))
+        results = await asyncio.gather(*(self._read_order(e) for e in engines))
         return {
             engine.name: order
-            for engine, order in zip(engines, found, strict=True)
+            for engine, order in zip(engines, results, strict=True)
             if not isinstance(order, errors.Failure)
         }
 
-    async def _read(
+    async def _read_order(
         self, engine: schema.Engine
     ) -> orders.Order | errors.Failure:
         async with self._slots:
@@ -184,7 +194,7 @@
                 self.engines, cancelling.url_of(engine)
             )
 
-    def _declared(self) -> schema.Config | None:
+    def _merged_config(self) -> schema.Config | None:
         """Return the services and engines of all sites together."""
         services: dict[ids.ServiceName, schema.ModelService] = {}
         engines: dict[ids.EngineName, schema.Engine] = {}
@@ -205,13 +215,13 @@
     if data is None:
         return None
     try:
-        return _RECORD.decode(data)
+        return _RECORD_DECODER.decode(data)
     except msgspec.MsgspecError as error:
         _log.error('Lease is malformed.', detail=str(error))
         return None
 
 
-def _swap(
+def _compare_and_swap(
     before: bytes | None, after: bytes | None
 ) -> transaction.Transaction:
     return transaction.Transaction(
@@ -220,5 +230,5 @@
     )
 
 
-def _ignore(message: messages.AnyMessage) -> None:
+def _ignore_message(message: messages.AnyMessage) -> None:
     """Take no part in other traffic."""
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -56,14 +56,14 @@
     def __init__(
         self,
         options: options_module.Options,
-        tables: table.Table,
-        stored: objects.Objects,
-        owner: tasks.Tasks,
+        table_client: table.Table,
+        object_store: objects.Objects,
+        task_group: tasks.Tasks,
     ) -> None:
         self._options = options
-        self._table = tables
-        self._objects = stored
-        self._owner = owner
+        self._table = table_client
+        self._objects = object_store
+        self._tasks = task_group
         self.active = revision_module.ActiveConfiguration()
         self._listeners: list[Listener] = []
         self._request: Requester | None = None
@@ -82,9 +82,9 @@
         """Return the configuration of this daemon's site."""
         return self.active.config_of(self._options.data_centre)
 
-    def region_of(self, centre: ids.DataCentre) -> ids.RegionName | None:
+    def region_of(self, data_centre: ids.DataCentre) -> ids.RegionName | None:
         """Return the region of a data centre; None if not known."""
-        site = self.active.site_of(centre)
+        site = self.active.site_of(data_centre)
         return site.region if site else None
 
     def site(self) -> schema.Site | None:
@@ -122,8 +122,8 @@
     def start(self) -> None:
         """Start the task that reads the table."""
         poll = self._options.config_poll
-        self._owner.keep(
-            'config', lambda: tasks.every(lambda: poll, self._read)
+        self._tasks.keep(
+            'config', lambda: tasks.every(lambda: poll, self._poll_table)
         )
 
     def record_peer_revision(
@@ -140,9 +140,9 @@
         if isinstance(accepted, errors.Failure):
             _log.warning('Configuration dropped.', detail=accepted.detail)
             return
-        self._owner.once(self._take(accepted, 'peer'))
+        self._tasks.once(self._apply(accepted, 'peer'))
 
-    async def _read(self) -> None:
+    async def _poll_table(self) -> None:
         values = await self._table.read([revision_module.HEAD_KEY])
         if isinstance(values, errors.Failure):
             return
@@ -154,9 +154,9 @@
             _log.error('Head is malformed.', detail=head.detail)
             return
         if head.revision > self.revision:
-            await self._fetch(head)
+            await self._fetch_body(head)
 
-    async def _fetch(self, head: revision_module.Head) -> None:
+    async def _fetch_body(self, head: revision_module.Head) -> None:
         body = await self._objects.get(revision_module.body_key(head.digest))
         if isinstance(body, errors.Failure):
             _log.warning('Body not read.', reason=body.reason.name)
@@ -165,9 +165,9 @@
         if isinstance(bundle, errors.Failure):
             _log.error('Body is malformed.', detail=bundle.detail)
             return
-        await self._take(revision_module.Accepted(head, bundle), 'table')
+        await self._apply(revision_module.Accepted(head, bundle), 'table')
 
-    async def _take(
+    async def _apply(
         self, accepted: revision_module.Accepted, source: str
     ) -> None:
         if accepted.head.revision <= self.revision:
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -100,15 +100,15 @@
         looks = 0
         while (
             self._serving.in_flight
-            or self._claiming.open
-            or self._canceller.open
+            or self._claiming.unsettled_count
+            or self._canceller.pending_count
         ):
             if looks % _STOP_LOG_EVERY == 0:
                 _log.info(
                     'Waiting.',
                     in_flight=self._serving.in_flight,
-                    claims=self._claiming.open,
-                    cancels=self._canceller.open,
+                    claims=self._claiming.unsettled_count,
+                    cancels=self._canceller.pending_count,
                 )
             looks += 1
             await asyncio.sleep(_STOP_LOOK)
@@ -147,7 +147,7 @@
         if isinstance(message, messages.Placed | messages.GivenUp):
             self._placing.answered(message)
         else:
-            self._claiming.take(message)
+            self._claiming.handle_message(message)
 
     def _reconfigured(self) -> None:
         self._placing.replan()
--- a/galenahatch/execution.py
+++ b/galenahatch/execution.py
@@ -178,19 +178,19 @@
     ) -> errors.Failure | None:
         """Run an attempt, and keep what it came to."""
         if not self._allowed and not self._may_send():
-            attempt.free('not allowed')
+            attempt.release_engines('not allowed')
             return errors.Failure(errors.CLAIM_ABANDONED, retry_after=1.0)
         self._allowed = True
         try:
             failure = await attempt.run()
         except asyncio.CancelledError:
-            attempt.free('caller_gone')
+            attempt.release_engines('caller_gone')
             raise
         finally:
-            self._sent = self._sent or attempt.started
-        attempt.account(failure)
-        if attempt.failed is not None:
-            self._avoid.append(attempt.failed)
+            self._sent = self._sent or attempt.maybe_started
+        attempt.report_end(failure)
+        if attempt.failed_engine is not None:
+            self._avoid.append(attempt.failed_engine)
         return failure
 
     def _place_request(self, number: int) -> messages.PlaceRequest:
@@ -217,17 +217,17 @@
 
     def _engines_of(
         self, placed: messages.Placed
-    ) -> attempt_module.Engines | None:
+    ) -> attempt_module.EnginePair | None:
         prefill = self._means.find_engine(placed.prefill)
         decode = self._means.find_engine(placed.decode)
         if prefill is None or decode is None:
             return None
-        return attempt_module.Engines(prefill, decode)
+        return attempt_module.EnginePair(prefill, decode)
 
     def _hold(
         self,
         request: messages.PlaceRequest,
-        engines: attempt_module.Engines,
+        engines: attempt_module.EnginePair,
     ) -> None:
         cell = self._means.placement.cell_of(request)
         held = messages.Held(
--- a/galenahatch/plainservices.py
+++ b/galenahatch/plainservices.py
@@ -76,7 +76,7 @@
         """Route one call and answer it."""
         service = settings.plain_service(request.match_info['name'])
         if service is None:
-            return answers.refusal_of(
+            return answers.failure_response(
                 errors.Failure(errors.UNKNOWN_MODEL), headers.request
             )
         call = _call_of(request, body)
@@ -85,7 +85,7 @@
             return _response(result, headers.request)
         if not headers.key:
             failure = errors.Failure(errors.KEY_REQUIRED)
-            return answers.refusal_of(failure, headers.request)
+            return answers.failure_response(failure, headers.request)
         return await self._serve_once(service, call, caller, headers)
 
     async def _serve_once(
@@ -100,10 +100,10 @@
         fingerprint = claim.request_fingerprint(target, call.body)
         claimed = await self._claiming.acquire(key, fingerprint)
         if isinstance(claimed, errors.Failure):
-            return answers.refusal_of(claimed, headers.request)
+            return answers.failure_response(claimed, headers.request)
         if isinstance(claimed, claim.Answer):
             _log.info('Answer repeated.', request=headers.request, key=key)
-            return answers.response_of(claimed, headers.request)
+            return answers.build_response(claimed, headers.request)
         # The call goes on when its caller leaves: its answer is kept for a
         # second arrival, and it holds no engine.
         work = asyncio.ensure_future(
@@ -119,7 +119,7 @@
         claimed: claimclient.Claimed,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
-        if not self._claiming.dispatch(claimed):
+        if not self._claiming.try_dispatch(claimed):
             return errors.Failure(errors.CLAIM_ABANDONED, retry_after=1.0)
         result = await self._send_once(service, call, request)
         if isinstance(result, service_client.Result):
@@ -133,7 +133,7 @@
         elif result.outcome is errors.Outcome.NOT_RUN:
             self._claiming.abandon(claimed, not_started=True)
         else:
-            answer = answers.failed(result, request)
+            answer = answers.failure_answer(result, request)
             self._claiming.finish(claimed, answer)
         return result
 
@@ -247,11 +247,11 @@
     result: service_client.Result | errors.Failure, request: ids.RequestId
 ) -> web.Response:
     if isinstance(result, errors.Failure):
-        return answers.refusal_of(result, request)
+        return answers.failure_response(result, request)
     answer = claim.Answer(
         result.status,
         errors.Outcome.ANSWERED.value,
         result.content_type,
         result.body,
     )
-    return answers.response_of(answer, request)
+    return answers.build_response(answer, request)
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -124,8 +124,8 @@
     def _busy(self) -> bool:
         return bool(
             self._placement.waiting
-            or self._claims.open
-            or self._canceller.open
+            or self._claims.unanswered_count
+            or self._canceller.pending_count
         )
 
     def _not_ready_reason(self) -> str:
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -99,16 +99,16 @@
             response = await handler(request)
         except web.HTTPRequestEntityTooLarge:
             failure = errors.Failure(errors.BODY_TOO_LARGE)
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, none)
         except web.HTTPException as error:
             failure = errors.Failure(errors.NO_ROUTE, str(error.status))
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, none)
         except ConnectionError:
             raise
         except Exception as error:  # noqa: H201  (logged, typed answer)
             _log.error('Handler failed.', error=repr(error))
             failure = errors.Failure(errors.INTERNAL)
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, none)
         if self.closed and not response.prepared:
             response.force_close()
         return response
@@ -124,11 +124,11 @@
         none = ids.RequestId('')
         settings = self._config.own_config()
         if self.closed or settings is None:
-            return answers.refusal_of(self._unavailable(request), none)
+            return answers.failure_response(self._unavailable(request), none)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.refusal_of(caller, none)
-        return answers.response_of(answers.models(settings), none)
+            return answers.failure_response(caller, none)
+        return answers.build_response(answers.model_list(settings), none)
 
     async def _service(self, request: web.Request) -> web.StreamResponse:
         return await self._counted(request, self._call, False)
@@ -145,18 +145,18 @@
         none = ids.RequestId('')
         settings = self._config.own_config()
         if self.closed or settings is None:
-            return answers.refusal_of(self._unavailable(request), none)
+            return answers.failure_response(self._unavailable(request), none)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.refusal_of(caller, none)
+            return answers.failure_response(caller, none)
         headers = inbound.read_headers(request.headers)
         if isinstance(headers, errors.Failure):
-            return answers.refusal_of(headers, none)
+            return answers.failure_response(headers, none)
         self.in_flight += 1
         try:
             body = await _read_body(request)
             if isinstance(body, errors.Failure):
-                return answers.refusal_of(body, headers.request)
+                return answers.failure_response(body, headers.request)
             arrived = Arrived(request, body, settings, caller, headers)
             return await handler(arrived, chat)
         finally:
@@ -209,7 +209,7 @@
         self, failure: errors.Failure, request: ids.RequestId
     ) -> web.StreamResponse:
         _log_end(request, failure)
-        return answers.refusal_of(failure, request)
+        return answers.failure_response(failure, request)
 
     async def _run(
         self,
@@ -221,10 +221,10 @@
         stream = answers.StreamSink(request, asked) if asked.stream else None
 
         def may_send() -> bool:
-            return claimed is None or self._claiming.dispatch(claimed)
+            return claimed is None or self._claiming.try_dispatch(claimed)
 
         course = execution.RequestExecution(
-            self._means, asked, stream or answers.NoSink(), may_send
+            self._means, asked, stream or answers.DiscardingSink(), may_send
         )
         try:
             failure = await self._within_deadline(course, asked)
@@ -260,12 +260,12 @@
             return
         request = asked.headers.request
         if failure is None:
-            answer = answers.whole(
+            answer = answers.completion(
                 asked, course.text, course.finish, course.tokens
             )
             self._claiming.finish(claimed, answer)
         elif course.maybe_started:
-            answer = answers.failed(failure, request)
+            answer = answers.failure_answer(failure, request)
             self._claiming.finish(claimed, answer)
         else:
             self._claiming.abandon(claimed, not_started=True)
@@ -281,13 +281,13 @@
         if failure is not None:
             if stream is not None and stream.response is not None:
                 return await stream.fail(failure)
-            return answers.refusal_of(failure, request)
+            return answers.failure_response(failure, request)
         if stream is not None:
             return await stream.end(course.finish)
-        answer = answers.whole(
+        answer = answers.completion(
             asked, course.text, course.finish, course.tokens
         )
-        return answers.response_of(answer, request)
+        return answers.build_response(answer, request)
 
 
 async def _read_body(request: web.Request) -> bytes | errors.Failure:
@@ -302,11 +302,11 @@
     request: web.Request, asked: inbound.ModelRequest, answer: claim.Answer
 ) -> web.StreamResponse:
     """Give a stored answer again in the form that was asked for."""
-    stored = answers.stored_text(answer) if asked.stream else None
+    stored = answers.decode_stored_completion(answer) if asked.stream else None
     if stored is None:
-        return answers.response_of(answer, asked.headers.request)
+        return answers.build_response(answer, asked.headers.request)
     stream = answers.StreamSink(request, asked)
-    await stream.tokens(stored.text)
+    await stream.send_text(stored.text)
     return await stream.end(stored.finish)
 
 
