--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -24,15 +24,15 @@
 from galenahatch import application
 from galenahatch import attempt
 from galenahatch import cancelling
-from galenahatch import claiming as claiming_module
+from galenahatch import claimclient
 from galenahatch.core import leaving as leaving_module
 from galenahatch.core import retry
 from galenahatch import ids
 from galenahatch import logs
 from galenahatch import messages
 from galenahatch import options as options_module
-from galenahatch import placing as placing_module
-from galenahatch import plain as plain_module
+from galenahatch import placementclient
+from galenahatch import plainservices
 from galenahatch.platform import vms
 from galenahatch import schema
 from galenahatch import serving
@@ -60,25 +60,25 @@
         self._once = http.session(
             options.connect_timeout, options.idle_timeout, reuse=False
         )
-        self._placing = placing_module.Placing(
+        self._placing = placementclient.PlacementClient(
             self.peers, self.config, options.data_centre
         )
-        self._claiming = claiming_module.Claiming(
+        self._claiming = claimclient.ClaimClient(
             self.peers, self.objects, self.tasks, options.claim_timeout
         )
         self._canceller = cancelling.Canceller(
             self.engines, self.config.engine, self.tasks
         )
         self._means = self._make_means()
-        self._plain = plain_module.Plain(
+        self._plain = plainservices.PlainServices(
             self.engines, self._once, self._claiming, self._leaving
         )
         self._serving = serving.Serving(
             self.config, self._means, self._claiming, self._plain
         )
-        self.config.listen(self._reconfigured)
-        self.peers.listen(self._listed)
-        self.peers.report(self._beat)
+        self.config.on_change(self._reconfigured)
+        self.peers.on_vm_list(self._listed)
+        self.peers.on_heartbeat(self._beat)
         self.join()
         await self._serve()
         _log.info('Listening.', member=self.peers.member)
@@ -100,15 +100,15 @@
         looks = 0
         while (
             self._serving.in_flight
-            or self._claiming.open
-            or self._canceller.open
+            or self._claiming.unsettled_count
+            or self._canceller.pending_count
         ):
             if looks % _STOP_LOG_EVERY == 0:
                 _log.info(
                     'Waiting.',
                     in_flight=self._serving.in_flight,
-                    claims=self._claiming.open,
-                    cancels=self._canceller.open,
+                    claims=self._claiming.unsettled_count,
+                    cancels=self._canceller.pending_count,
                 )
             looks += 1
             await asyncio.sleep(_STOP_LOOK)
@@ -118,7 +118,7 @@
             client_max_size=self.options.max_body_bytes,
             middlewares=[self._serving.typed_errors],
         )
-        app.add_routes(application.health_routes(self._why_not_ready))
+        app.add_routes(application.health_routes(self._not_ready_reason))
         app.add_routes(self._serving.routes())
         await self.listen(
             app,
@@ -127,18 +127,18 @@
             self.options.max_header_bytes,
         )
 
-    def _make_means(self) -> attempt.Means:
-        return attempt.Means(
+    def _make_means(self) -> attempt.AttemptContext:
+        return attempt.AttemptContext(
             member=self.peers.member,
             data_centre=self.options.data_centre,
-            placing=self._placing,
+            placement=self._placing,
             canceller=self._canceller,
-            find=self.config.engine,
-            repeatable=self.engines,
-            once=self._once,
-            budget=self._budget,
-            site=self._site,
-            revision=lambda: self.config.revision,
+            find_engine=self.config.engine,
+            idempotent_session=self.engines,
+            non_idempotent_session=self._once,
+            retry_budget_of=self._budget,
+            current_site=self._site,
+            current_revision=lambda: self.config.revision,
         )
 
     # News.
@@ -147,12 +147,12 @@
         if isinstance(message, messages.Placed | messages.GivenUp):
             self._placing.answered(message)
         else:
-            self._claiming.take(message)
+            self._claiming.handle_message(message)
 
     def _reconfigured(self) -> None:
         self._placing.replan()
         self._leaving.record_configuration(
-            self.config.revision, self.config.draining()
+            self.config.revision, self.config.drained_upstreams()
         )
 
     def _listed(self, listed: vms.VmList) -> None:
@@ -163,13 +163,13 @@
 
     def _beat(self) -> None:
         self.peers.load = self._serving.in_flight
-        self.peers.why_not_ready = self._why_not_ready()
+        self.peers.not_ready_reason = self._not_ready_reason()
         self._placing.report()
 
-    def _why_not_ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         if self.peers.standing is states.Standing.LEAVING:
             return 'leaving'
-        if self.config.mine() is None:
+        if self.config.own_config() is None:
             return 'no configuration'
         if not self.peers.schedulers():
             return 'no scheduler'
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -35,7 +35,7 @@
 from galenahatch import logs
 from galenahatch import messages
 from galenahatch import metrics
-from galenahatch import news as news_module
+from galenahatch import placementevents
 from galenahatch import states
 from galenahatch import trail
 
@@ -64,7 +64,9 @@
         self._data_centre = data_centre
         self._trail = kept
         self._placed = placed
-        self._inbox: asyncio.Queue[news_module.News] = asyncio.Queue()
+        self._inbox: asyncio.Queue[placementevents.PlacementEvent] = (
+            asyncio.Queue()
+        )
         self._cells: dict[ids.CellId, cell_module.Cell] = {}
         self._cell_by_stream: dict[ids.StreamId, ids.CellId] = {}
         self._waiters: dict[
@@ -75,7 +77,7 @@
         # Of the plans; the configuration in force may be ahead of them.
         self._revision = ids.Revision(0)
         # Requests of entries that are ahead of this scheduler's revision.
-        self._early: list[news_module.FromEntry] = []
+        self._early: list[placementevents.EntryMessage] = []
         self._plans: collections.abc.Mapping[
             ids.CellId, cells_module.CellConfig
         ] = {}
@@ -90,7 +92,7 @@
         """The cells, in no special order."""
         return tuple(self._cells.values())
 
-    def tell(self, news: news_module.News) -> None:
+    def put(self, news: placementevents.PlacementEvent) -> None:
         """Put news into the inbox."""
         self._inbox.put_nowait(news)
 
@@ -139,17 +141,17 @@
         times = [look - now for look in looks if look is not None]
         return max(0.001, min(times, default=_IDLE_LOOK))
 
-    def _take(self, news: news_module.News) -> None:
-        if isinstance(news, news_module.FromEntry):
+    def _take(self, news: placementevents.PlacementEvent) -> None:
+        if isinstance(news, placementevents.EntryMessage):
             self._take_message(news)
-        elif isinstance(news, news_module.EngineReport):
+        elif isinstance(news, placementevents.EngineReport):
             self._take_report(news)
-        elif isinstance(news, news_module.EntryGone):
+        elif isinstance(news, placementevents.EntryGone):
             self._forget_entry(news.entry)
         else:
             self._refresh(news)
 
-    def _take_message(self, news: news_module.FromEntry) -> None:
+    def _take_message(self, news: placementevents.EntryMessage) -> None:
         message = news.message
         now = clock.now()
         if isinstance(message, messages.PlaceRequest):
@@ -176,7 +178,7 @@
         cell_id, cell = self._cell_for(request)
         if cell_id is None or cell is None:
             if request.revision > self._revision:
-                self._early.append(news_module.FromEntry(request, send))
+                self._early.append(placementevents.EntryMessage(request, send))
                 return
             reason = errors.UNKNOWN_MODEL.name
             send(messages.GivenUp(request.stream, reason, 1.0, 'no cell'))
@@ -238,7 +240,7 @@
 
     def _rebuild(self, report: messages.HeldReport, now: float) -> None:
         by_cell: dict[ids.CellId, list[messages.Held]] = {}
-        for held in report.held:
+        for held in report.owned:
             if held.cell not in self._cells and held.cell in self._plans:
                 self._make_cell(self._plans[held.cell])
             self._cell_by_stream.setdefault(held.stream, held.cell)
@@ -250,7 +252,7 @@
             )
             cell.reconcile(part, now)
 
-    def _take_report(self, news: news_module.EngineReport) -> None:
+    def _take_report(self, news: placementevents.EngineReport) -> None:
         now = clock.now()
         load = news.load
         for cell in self._cells.values():
@@ -277,7 +279,7 @@
         for cell in self._cells.values():
             cell.remove_entry(entry, clock.now())
 
-    def _refresh(self, news: news_module.Refresh) -> None:
+    def _refresh(self, news: placementevents.Refresh) -> None:
         self._leaving = news.leaving
         self._plans = news.plans
         self._revision = news.revision
@@ -349,7 +351,9 @@
         request = decision.request
         send = self._waiters.pop(answer.stream, None)
         if isinstance(answer, messages.Placed):
-            line = f'placed {answer.prefill}+{answer.decode} {answer.why}'
+            line = (
+                f'placed {answer.prefill}+{answer.decode} {answer.explanation}'
+            )
             metrics.places_reserved.add(1)
             metrics.link_reserved.add(answer.transfer)
             self._placed(request.entry, self._held(request, answer))
@@ -359,10 +363,10 @@
                 stream=answer.stream,
                 prefill=answer.prefill,
                 decode=answer.decode,
-                why=answer.why,
+                why=answer.explanation,
             )
         else:
-            line = f'given up {answer.reason} {answer.why}'
+            line = f'given up {answer.reason} {answer.explanation}'
             self._cell_by_stream.pop(answer.stream, None)
             metrics.given_up.add(1, {'reason': answer.reason})
             _log.info(
@@ -371,7 +375,7 @@
                 stream=answer.stream,
                 reason=answer.reason,
                 retry_after=answer.retry_after,
-                why=answer.why,
+                why=answer.explanation,
             )
         self._trail.add(request.request, line)
         if send is not None:
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -26,7 +26,7 @@
 from galenahatch import application
 from galenahatch import bus
 from galenahatch import cancelling
-from galenahatch import claims as claims_module
+from galenahatch import claimwriter
 from galenahatch import clock
 from galenahatch.core import cells
 from galenahatch.core import leaving as leaving_module
@@ -34,10 +34,10 @@
 from galenahatch import ids
 from galenahatch import logs
 from galenahatch import messages
-from galenahatch import news as news_module
 from galenahatch import options as options_module
 from galenahatch import orphans as orphans_module
 from galenahatch import placement as placement_module
+from galenahatch import placementevents
 from galenahatch.platform import vms
 from galenahatch import probes as probes_module
 from galenahatch import schema
@@ -68,7 +68,7 @@
         self._placement = placement_module.Placement(
             self.config, options.data_centre, self._trail, self._placed
         )
-        self._claims = claims_module.Claims(self.table, options.claim_group)
+        self._claims = claimwriter.ClaimWriter(self.table, options.claim_group)
         self._canceller = cancelling.Canceller(
             self.engines, self.config.engine, self.tasks
         )
@@ -76,7 +76,7 @@
             self.peers, self._canceller, self._forget
         )
         self._probes = probes_module.Probes(
-            self.engines, self._placement.tell, self._leaving
+            self.engines, self._placement.put, self._leaving
         )
         await self._open_sockets()
         self._start_tasks()
@@ -86,7 +86,7 @@
         """Hand over what is owned, finish what was begun, and stop."""
         application.ignore_signals(_log)
         self.peers.standing = states.Standing.LEAVING
-        self.peers.why_not_ready = 'leaving'
+        self.peers.not_ready_reason = 'leaving'
         _log.info('Leaving.', waiting=self._placement.waiting)
         told = 0
         while told < _HANDOVER_INTERVALS or self._busy():
@@ -101,13 +101,13 @@
         endpoint = f'tcp://{options.address}:{options.scheduler_port}'
         self._hub = bus.Hub(endpoint, messages.CODEC, self._from_peer)
         app = web.Application()
-        app.add_routes(application.health_routes(self._why_not_ready))
+        app.add_routes(application.health_routes(self._not_ready_reason))
         await self.listen(app, options.scheduler_http_port, options.keepalive)
 
     def _start_tasks(self) -> None:
-        self.config.listen(self._replan)
-        self.peers.listen(self._listed)
-        self.peers.report(self._refresh)
+        self.config.on_change(self._replan)
+        self.peers.on_vm_list(self._listed)
+        self.peers.on_heartbeat(self._refresh)
         self.join()
         keep = self.tasks.keep
         keep('placement', self._placement.run)
@@ -124,11 +124,11 @@
     def _busy(self) -> bool:
         return bool(
             self._placement.waiting
-            or self._claims.open
-            or self._canceller.open
+            or self._claims.unanswered_count
+            or self._canceller.pending_count
         )
 
-    def _why_not_ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         if self.peers.standing is states.Standing.LEAVING:
             return 'leaving'
         if not self.config.revision:
@@ -157,20 +157,20 @@
         if isinstance(message, messages.Heartbeat):
             self._from_member(peer, message)
         elif isinstance(message, messages.PlaceRequest | messages.Progress):
-            self._placement.tell(news_module.FromEntry(message, send))
+            self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.HeldReport):
             self._orphans.take(message)
-            self._placement.tell(news_module.FromEntry(message, send))
+            self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.Release):
             self._orphans.ended(message.stream)
-            self._placement.tell(news_module.FromEntry(message, send))
+            self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.Watch | messages.Unwatch):
             self._orphans.take(message)
         elif isinstance(
             message,
             messages.ClaimRequest | messages.ClaimVoid | messages.ClaimDone,
         ):
-            self._claims.tell(message, send)
+            self._claims.submit(message, send)
         else:
             self._answer_query(message, send)
 
@@ -182,7 +182,7 @@
         if isinstance(message, messages.ClaimQuery):
             self._forward_query(message, send)
         elif isinstance(message, messages.ClaimAnswer):
-            sender = self._senders.get(message.asker)
+            sender = self._senders.get(message.requester)
             if sender is not None:
                 self._hub.send(sender, message)
         elif isinstance(message, messages.AliveQuery):
@@ -192,11 +192,11 @@
             )
             send(messages.AliveReply(message.member, silence))
         elif isinstance(message, messages.ConfigRequest):
-            body = self.config.body(message.above)
+            body = self.config.config_newer_than(message.newer_than)
             if body is not None:
                 send(body)
         elif isinstance(message, messages.ConfigBody):
-            self.config.offered(message)
+            self.config.apply_peer_config(message)
         elif isinstance(message, messages.StatusRequest):
             send(self._status())
         elif isinstance(message, messages.ExplainRequest):
@@ -207,7 +207,7 @@
         self, peer: bus.Peer, heartbeat: messages.Heartbeat
     ) -> None:
         self._senders[heartbeat.member] = peer
-        self.peers.heard(heartbeat)
+        self.peers.record_heartbeat(heartbeat)
         self._orphans.heard(heartbeat)
         self._hub.send(peer, self.peers.heartbeat())
         if heartbeat.revision > self.config.revision:
@@ -232,7 +232,7 @@
         elif holder is None or sender is None:
             state = states.HolderState.SILENT
         if state is not None:
-            send(messages.ClaimAnswer(query.token, query.asker, state))
+            send(messages.ClaimAnswer(query.token, query.requester, state))
         elif sender is not None:
             self._hub.send(sender, query)
 
@@ -256,14 +256,16 @@
     def _refresh(self) -> None:
         """Tell the placement what is owned and what leaves."""
         self._leaving.record_configuration(
-            self.config.revision, self.config.draining()
+            self.config.revision, self.config.drained_upstreams()
         )
-        self.peers.why_not_ready = self._why_not_ready()
+        self.peers.not_ready_reason = self._not_ready_reason()
         self.peers.load = self._placement.waiting
         leaving = self._leaving.leaving_engines(self._declared())
         owned = frozenset(self._owned())
-        news = news_module.Refresh(self._planned, self._plans, owned, leaving)
-        self._placement.tell(news)
+        news = placementevents.Refresh(
+            self._planned, self._plans, owned, leaving
+        )
+        self._placement.put(news)
 
     def _replan(self) -> None:
         """Work out the cells of a new configuration."""
@@ -296,4 +298,4 @@
         self._orphans.placed(entry, held)
 
     def _forget(self, entry: ids.MemberId) -> None:
-        self._placement.tell(news_module.EntryGone(entry))
+        self._placement.put(placementevents.EntryGone(entry))
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -26,17 +26,17 @@
 
 from galenahatch import answers
 from galenahatch import attempt
-from galenahatch import claiming as claiming_module
+from galenahatch import claimclient
 from galenahatch import clock
 from galenahatch.core import claim
-from galenahatch import course as course_module
 from galenahatch import distribution
 from galenahatch import errors
+from galenahatch import execution
 from galenahatch import ids
 from galenahatch import inbound
 from galenahatch import logs
 from galenahatch import metrics
-from galenahatch import plain as plain_module
+from galenahatch import plainservices
 from galenahatch import schema
 
 _BODY_SECONDS: typing.Final = 30.0
@@ -65,9 +65,9 @@
     def __init__(
         self,
         settings: distribution.Distribution,
-        means: attempt.Means,
-        claiming: claiming_module.Claiming,
-        plain: plain_module.Plain,
+        means: attempt.AttemptContext,
+        claiming: claimclient.ClaimClient,
+        plain: plainservices.PlainServices,
     ) -> None:
         self._config = settings
         self._means = means
@@ -99,16 +99,16 @@
             response = await handler(request)
         except web.HTTPRequestEntityTooLarge:
             failure = errors.Failure(errors.BODY_TOO_LARGE)
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, none)
         except web.HTTPException as error:
             failure = errors.Failure(errors.NO_ROUTE, str(error.status))
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, none)
         except ConnectionError:
             raise
         except Exception as error:  # noqa: H201  (logged, typed answer)
             _log.error('Handler failed.', error=repr(error))
             failure = errors.Failure(errors.INTERNAL)
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, none)
         if self.closed and not response.prepared:
             response.force_close()
         return response
@@ -122,13 +122,13 @@
     async def _models(self, request: web.Request) -> web.StreamResponse:
         """List the models for a known caller."""
         none = ids.RequestId('')
-        settings = self._config.mine()
+        settings = self._config.own_config()
         if self.closed or settings is None:
-            return answers.refusal_of(self._unavailable(request), none)
+            return answers.failure_response(self._unavailable(request), none)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.refusal_of(caller, none)
-        return answers.response_of(answers.models(settings), none)
+            return answers.failure_response(caller, none)
+        return answers.build_response(answers.model_list(settings), none)
 
     async def _service(self, request: web.Request) -> web.StreamResponse:
         return await self._counted(request, self._call, False)
@@ -143,20 +143,20 @@
     ) -> web.StreamResponse:
         """Admit a request and count it while it is in flight."""
         none = ids.RequestId('')
-        settings = self._config.mine()
+        settings = self._config.own_config()
         if self.closed or settings is None:
-            return answers.refusal_of(self._unavailable(request), none)
+            return answers.failure_response(self._unavailable(request), none)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.refusal_of(caller, none)
+            return answers.failure_response(caller, none)
         headers = inbound.read_headers(request.headers)
         if isinstance(headers, errors.Failure):
-            return answers.refusal_of(headers, none)
+            return answers.failure_response(headers, none)
         self.in_flight += 1
         try:
             body = await _read_body(request)
             if isinstance(body, errors.Failure):
-                return answers.refusal_of(body, headers.request)
+                return answers.failure_response(body, headers.request)
             arrived = Arrived(request, body, settings, caller, headers)
             return await handler(arrived, chat)
         finally:
@@ -209,22 +209,22 @@
         self, failure: errors.Failure, request: ids.RequestId
     ) -> web.StreamResponse:
         _log_end(request, failure)
-        return answers.refusal_of(failure, request)
+        return answers.failure_response(failure, request)
 
     async def _run(
         self,
         request: web.Request,
         asked: inbound.ModelRequest,
-        claimed: claiming_module.Claimed | None,
+        claimed: claimclient.Claimed | None,
     ) -> web.StreamResponse:
         """Run a course within its deadline, settle its claim, answer."""
         stream = answers.StreamSink(request, asked) if asked.stream else None
 
         def may_send() -> bool:
-            return claimed is None or self._claiming.dispatch(claimed)
+            return claimed is None or self._claiming.try_dispatch(claimed)
 
-        course = course_module.Course(
-            self._means, asked, stream or answers.NoSink(), may_send
+        course = execution.RequestExecution(
+            self._means, asked, stream or answers.DiscardingSink(), may_send
         )
         try:
             failure = await self._within_deadline(course, asked)
@@ -238,7 +238,7 @@
         return await self._reply(course, asked, stream, failure)
 
     async def _within_deadline(
-        self, course: course_module.Course, asked: inbound.ModelRequest
+        self, course: execution.RequestExecution, asked: inbound.ModelRequest
     ) -> errors.Failure | None:
         try:
             async with asyncio.timeout(asked.deadline):
@@ -250,9 +250,9 @@
 
     def _settle(
         self,
-        course: course_module.Course,
+        course: execution.RequestExecution,
         asked: inbound.ModelRequest,
-        claimed: claiming_module.Claimed | None,
+        claimed: claimclient.Claimed | None,
         failure: errors.Failure | None,
     ) -> None:
         """Store what a claimed request came to, or remove its claim."""
@@ -260,19 +260,19 @@
             return
         request = asked.headers.request
         if failure is None:
-            answer = answers.whole(
+            answer = answers.completion(
                 asked, course.text, course.finish, course.tokens
             )
             self._claiming.finish(claimed, answer)
         elif course.maybe_started:
-            answer = answers.failed(failure, request)
+            answer = answers.failure_answer(failure, request)
             self._claiming.finish(claimed, answer)
         else:
             self._claiming.abandon(claimed, not_started=True)
 
     async def _reply(
         self,
-        course: course_module.Course,
+        course: execution.RequestExecution,
         asked: inbound.ModelRequest,
         stream: answers.StreamSink | None,
         failure: errors.Failure | None,
@@ -281,13 +281,13 @@
         if failure is not None:
             if stream is not None and stream.response is not None:
                 return await stream.fail(failure)
-            return answers.refusal_of(failure, request)
+            return answers.failure_response(failure, request)
         if stream is not None:
             return await stream.end(course.finish)
-        answer = answers.whole(
+        answer = answers.completion(
             asked, course.text, course.finish, course.tokens
         )
-        return answers.response_of(answer, request)
+        return answers.build_response(answer, request)
 
 
 async def _read_body(request: web.Request) -> bytes | errors.Failure:
@@ -302,11 +302,11 @@
     request: web.Request, asked: inbound.ModelRequest, answer: claim.Answer
 ) -> web.StreamResponse:
     """Give a stored answer again in the form that was asked for."""
-    stored = answers.stored_text(answer) if asked.stream else None
+    stored = answers.decode_stored_completion(answer) if asked.stream else None
     if stored is None:
-        return answers.response_of(answer, asked.headers.request)
+        return answers.build_response(answer, asked.headers.request)
     stream = answers.StreamSink(request, asked)
-    await stream.tokens(stored.text)
+    await stream.send_text(stored.text)
     return await stream.end(stored.finish)
 
 
