--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -173,7 +173,7 @@
             return self._record_engine_failure(self._prefill_engine, result)
         self._prefilled_tokens = result.prompt_tokens - result.cached_tokens
         metrics.prefill_spent.add(self._prefilled_tokens)
-        self._context.placement.progress(
+        self._context.placement.report_progress(
             self._stream,
             states.Stage.TRANSFER,
             result.cached_tokens,
@@ -293,7 +293,7 @@
         if self._first_token_at:
             return
         self._first_token_at = clock.now()
-        self._context.placement.progress(
+        self._context.placement.report_progress(
             self._stream,
             states.Stage.DECODE,
             -1,
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -40,8 +40,8 @@
 from galenahatch.upstream import http
 
 _BODY_SECONDS: typing.Final = 30.0
-_STOP_LOOK: typing.Final = 0.05
-_STOP_LOG_EVERY: typing.Final = 100
+_DRAIN_POLL_S: typing.Final = 0.05
+_POLLS_PER_DRAIN_LOG: typing.Final = 100
 _log = logs.Log('entry')
 
 
@@ -50,37 +50,43 @@
 
     def __init__(self, options: options_module.Options) -> None:
         super().__init__(options)
-        self._budgets: dict[ids.ServiceName, retry.RetryBudget] = {}
+        self._retry_budgets: dict[ids.ServiceName, retry.RetryBudget] = {}
         self._leaving = leaving_module.LeavingUpstreams()
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.ENTRY, self._received)
-        self._once = http.session(
+        self.open(states.Role.ENTRY, self._handle_message)
+        self._non_idempotent_session = http.session(
             options.connect_timeout, options.idle_timeout, reuse=False
         )
-        self._placing = placementclient.PlacementClient(
+        self._placement = placementclient.PlacementClient(
             self.peers, self.config, options.data_centre
         )
-        self._claiming = claimclient.ClaimClient(
+        self._claims = claimclient.ClaimClient(
             self.peers, self.objects, self.tasks, options.claim_timeout
         )
         self._canceller = cancelling.Canceller(
             self.engines, self.config.engine, self.tasks
         )
-        self._means = self._make_means()
-        self._plain = plainservices.PlainServices(
-            self.engines, self._once, self._claiming, self._leaving
+        self._attempt_context = self._create_attempt_context()
+        self._plain_services = plainservices.PlainServices(
+            self.engines,
+            self._non_idempotent_session,
+            self._claims,
+            self._leaving,
         )
         self._serving = serving.Serving(
-            self.config, self._means, self._claiming, self._plain
+            self.config,
+            self._attempt_context,
+            self._claims,
+            self._plain_services,
         )
-        self.config.on_change(self._reconfigured)
-        self.peers.on_vm_list(self._listed)
-        self.peers.on_heartbeat(self._beat)
+        self.config.on_change(self._apply_configuration)
+        self.peers.on_vm_list(self._apply_vm_list)
+        self.peers.on_heartbeat(self._update_heartbeat)
         self.join()
-        await self._serve()
+        await self._start_listening()
         _log.info('Listening.', member=self.peers.member)
 
     async def stop(self, exception: Exception | None = None) -> None:
@@ -89,31 +95,31 @@
         self.peers.standing = states.Standing.LEAVING
         _log.info('Leaving.', in_flight=self._serving.in_flight)
         await asyncio.sleep(self.options.look_away)
-        self._serving.closed = True
+        self._serving.draining = True
         await self._drain()
         self.peers.broadcast(self.peers.heartbeat())
         await self.close()
-        await self._once.close()
+        await self._non_idempotent_session.close()
 
     async def _drain(self) -> None:
         """Wait until nothing is in flight and every claim is settled."""
-        looks = 0
+        poll_count = 0
         while (
             self._serving.in_flight
-            or self._claiming.unsettled_count
+            or self._claims.unsettled_count
             or self._canceller.pending_count
         ):
-            if looks % _STOP_LOG_EVERY == 0:
+            if poll_count % _POLLS_PER_DRAIN_LOG == 0:
                 _log.info(
                     'Waiting.',
                     in_flight=self._serving.in_flight,
-                    claims=self._claiming.unsettled_count,
+                    claims=self._claims.unsettled_count,
                     cancels=self._canceller.pending_count,
                 )
-            looks += 1
-            await asyncio.sleep(_STOP_LOOK)
+            poll_count += 1
+            await asyncio.sleep(_DRAIN_POLL_S)
 
-    async def _serve(self) -> None:
+    async def _start_listening(self) -> None:
         app = web.Application(
             client_max_size=self.options.max_body_bytes,
             middlewares=[self._serving.typed_errors],
@@ -127,44 +133,44 @@
             self.options.max_header_bytes,
         )
 
-    def _make_means(self) -> attempt.AttemptContext:
+    def _create_attempt_context(self) -> attempt.AttemptContext:
         return attempt.AttemptContext(
             member=self.peers.member,
             data_centre=self.options.data_centre,
-            placement=self._placing,
+            placement=self._placement,
             canceller=self._canceller,
             find_engine=self.config.engine,
             idempotent_session=self.engines,
-            non_idempotent_session=self._once,
-            retry_budget_of=self._budget,
-            current_site=self._site,
+            non_idempotent_session=self._non_idempotent_session,
+            retry_budget_of=self._retry_budget_of,
+            current_site=self._current_site,
             current_revision=lambda: self.config.revision,
         )
 
     # News.
 
-    def _received(self, message: messages.AnyMessage) -> None:
+    def _handle_message(self, message: messages.AnyMessage) -> None:
         if isinstance(message, messages.Placed | messages.GivenUp):
-            self._placing.answered(message)
+            self._placement.handle_reply(message)
         else:
-            self._claiming.handle_message(message)
+            self._claims.handle_message(message)
 
-    def _reconfigured(self) -> None:
-        self._placing.replan()
+    def _apply_configuration(self) -> None:
+        self._placement.apply_configuration()
         self._leaving.record_configuration(
             self.config.revision, self.config.drained_upstreams()
         )
 
-    def _listed(self, listed: vms.VmList) -> None:
+    def _apply_vm_list(self, listed: vms.VmList) -> None:
         self._leaving.record_vm_list(
             listed.version,
             (vm.address for vm in listed.vms if vm.state != 'live'),
         )
 
-    def _beat(self) -> None:
+    def _update_heartbeat(self) -> None:
         self.peers.load = self._serving.in_flight
         self.peers.not_ready_reason = self._not_ready_reason()
-        self._placing.report()
+        self._placement.send_reports()
 
     def _not_ready_reason(self) -> str:
         if self.peers.standing is states.Standing.LEAVING:
@@ -175,13 +181,15 @@
             return 'no scheduler'
         return ''
 
-    def _site(self) -> ids.SiteName:
+    def _current_site(self) -> ids.SiteName:
         site = self.config.site()
         return site.name if site else ids.SiteName('')
 
-    def _budget(self, service: schema.ModelService) -> retry.RetryBudget:
-        budget = self._budgets.get(service.name)
+    def _retry_budget_of(
+        self, service: schema.ModelService
+    ) -> retry.RetryBudget:
+        budget = self._retry_budgets.get(service.name)
         if budget is None:
             budget = retry.RetryBudget(service.retry_share)
-            self._budgets[service.name] = budget
+            self._retry_budgets[service.name] = budget
         return budget
--- a/galenahatch/execution.py
+++ b/galenahatch/execution.py
@@ -40,9 +40,9 @@
 from galenahatch import metrics
 from galenahatch import states
 
-MOST_ATTEMPTS: typing.Final = 4
+MAX_ATTEMPTS: typing.Final = 4
 
-_RETRIED: typing.Final = frozenset(
+_RETRYABLE_REASONS: typing.Final = frozenset(
     (
         errors.UPSTREAM_REFUSED,
         errors.UPSTREAM_UNREACHABLE,
@@ -67,80 +67,88 @@
 
     def __init__(
         self,
-        means: attempt_module.AttemptContext,
-        asked: inbound.ModelRequest,
+        context: attempt_module.AttemptContext,
+        model_request: inbound.ModelRequest,
         sink: answers.Sink,
-        may_send: collections.abc.Callable[[], bool],
+        try_dispatch: collections.abc.Callable[[], bool],
     ) -> None:
-        self._means = means
-        self._asked = asked
+        self._context = context
+        self._model_request = model_request
         self._sink = sink
-        self._may_send = may_send
-        self._once = asked.headers.non_idempotent
-        self._assembly = assembly.AnswerAssembler()
-        self._avoid: list[ids.EngineName] = []
-        self._sent = False
-        self._allowed = False
-        self._unclear: errors.Failure | None = None
+        self._try_dispatch = try_dispatch
+        self._non_idempotent = model_request.headers.non_idempotent
+        self._assembler = assembly.AnswerAssembler()
+        self._avoided_engines: list[ids.EngineName] = []
+        self._maybe_started = False
+        self._dispatched = False
+        self._unknown_failure: errors.Failure | None = None
         self._arrived_at = clock.now()
-        self._blocks = cache.hash_blocks(asked.prompt)
+        self._blocks = cache.hash_blocks(model_request.prompt)
 
     @property
     def maybe_started(self) -> bool:
         """Whether an engine may have begun the work."""
-        return self._sent
+        return self._maybe_started
 
     @property
     def text(self) -> str:
         """The answer so far."""
-        return self._assembly.text
+        return self._assembler.text
 
     @property
-    def finish(self) -> str:
+    def finish_reason(self) -> str:
         """Why generation ended."""
-        return self._assembly.finish_reason
+        return self._assembler.finish_reason
 
     @property
-    def tokens(self) -> int:
+    def token_count(self) -> int:
         """Tokens of the answer so far."""
-        return self._assembly.offset
+        return self._assembler.offset
 
     async def run(self) -> errors.Failure | None:
         """Run to the end; None when the answer is whole."""
-        number = 0
-        budget = self._means.retry_budget_of(self._asked.service)
+        attempt_number = 0
+        budget = self._context.retry_budget_of(self._model_request.service)
         while True:
-            number += 1
-            failure = await self._attempt(number)
+            attempt_number += 1
+            failure = await self._run_attempt(attempt_number)
             if failure is None:
                 budget.earn()
                 return None
-            if self._sent and failure.outcome is errors.Outcome.UNKNOWN:
-                self._unclear = self._unclear or failure
-            if not self._may_retry(failure, number):
-                return self._truthful(failure)
+            if (
+                self._maybe_started
+                and failure.outcome is errors.Outcome.UNKNOWN
+            ):
+                self._unknown_failure = self._unknown_failure or failure
+            if not self._may_retry(failure, attempt_number):
+                return self._combine_failures(failure)
             if not budget.spend():
-                return self._truthful(_spent(failure))
+                return self._combine_failures(_retries_spent(failure))
             metrics.retries.add(1)
-            await asyncio.sleep(retry.backoff(number, clock.RANDOM))
+            await asyncio.sleep(retry.backoff(attempt_number, clock.RANDOM))
 
-    def _may_retry(self, failure: errors.Failure, number: int) -> bool:
-        if failure.reason not in _RETRIED or number >= MOST_ATTEMPTS:
+    def _may_retry(self, failure: errors.Failure, attempt_number: int) -> bool:
+        if (
+            failure.reason not in _RETRYABLE_REASONS
+            or attempt_number >= MAX_ATTEMPTS
+        ):
             return False
-        return not (self._once and self._sent)
+        return not (self._non_idempotent and self._maybe_started)
 
-    def _truthful(self, failure: errors.Failure) -> errors.Failure:
+    def _combine_failures(self, failure: errors.Failure) -> errors.Failure:
         """Return a failure that says no more than what is known.
 
         An attempt whose fate is unknown makes the whole unknown, and an
         attempt that may have begun rules `not_run` out.
         """
-        if self._unclear is not None:
-            detail = f'{self._unclear.detail}, then {failure.reason.name}'
+        if self._unknown_failure is not None:
+            detail = (
+                f'{self._unknown_failure.detail}, then {failure.reason.name}'
+            )
             return errors.Failure(
-                self._unclear.reason, detail, failure.retry_after
+                self._unknown_failure.reason, detail, failure.retry_after
             )
-        if failure.outcome is errors.Outcome.NOT_RUN and self._sent:
+        if failure.outcome is errors.Outcome.NOT_RUN and self._maybe_started:
             detail = f'{failure.reason.name} {failure.detail}'
             return errors.Failure(
                 errors.RETRIES_FAILED, detail, failure.retry_after
@@ -149,24 +157,24 @@
 
     # One attempt.
 
-    async def _attempt(self, number: int) -> errors.Failure | None:
-        request = self._place_request(number)
+    async def _run_attempt(self, number: int) -> errors.Failure | None:
+        request = self._build_place_request(number)
         if request.first_token_timeout <= 0:
             return errors.Failure(errors.NO_TIME, retry_after=1.0)
-        placed = await self._means.placement.place(request)
+        placed = await self._context.placement.place(request)
         if isinstance(placed, errors.Failure):
             return placed
-        engines = self._engines_of(placed)
+        engines = self._find_engines(placed)
         if engines is None:
-            note = messages.Release(placed.stream, note='engine undeclared')
-            self._means.placement.release(note)
+            release = messages.Release(placed.stream, note='engine undeclared')
+            self._context.placement.release(release)
             return errors.Failure(errors.NO_ENGINE, retry_after=1.0)
-        self._hold(request, engines)
+        self._record_attempt(request, engines)
         attempt = attempt_module.Attempt(
-            self._means,
-            self._asked,
+            self._context,
+            self._model_request,
             self._sink,
-            self._assembly,
+            self._assembler,
             placed.stream,
             engines,
             self._arrived_at,
@@ -177,59 +185,63 @@
         self, attempt: attempt_module.Attempt
     ) -> errors.Failure | None:
         """Run an attempt, and keep what it came to."""
-        if not self._allowed and not self._may_send():
+        if not self._dispatched and not self._try_dispatch():
             attempt.release_engines('not allowed')
             return errors.Failure(errors.CLAIM_ABANDONED, retry_after=1.0)
-        self._allowed = True
+        self._dispatched = True
         try:
             failure = await attempt.run()
         except asyncio.CancelledError:
             attempt.release_engines('caller_gone')
             raise
         finally:
-            self._sent = self._sent or attempt.maybe_started
+            self._maybe_started = self._maybe_started or attempt.maybe_started
         attempt.report_end(failure)
         if attempt.failed_engine is not None:
-            self._avoid.append(attempt.failed_engine)
+            self._avoided_engines.append(attempt.failed_engine)
         return failure
 
-    def _place_request(self, number: int) -> messages.PlaceRequest:
-        asked = self._asked
-        waited = clock.now() - self._arrived_at
-        whole = asked.deadline if self._assembly.offset else asked.patience
+    def _build_place_request(self, number: int) -> messages.PlaceRequest:
+        model_request = self._model_request
+        elapsed = clock.now() - self._arrived_at
+        timeout = (
+            model_request.deadline
+            if self._assembler.offset
+            else model_request.patience
+        )
         return messages.PlaceRequest(
-            request=asked.headers.request,
-            stream=ids.StreamId(f'{asked.headers.request}.{number}'),
-            entry=self._means.member,
-            service=asked.service.name,
-            site=self._means.current_site(),
-            caller=asked.caller,
-            urgency=asked.urgency,
-            prompt_tokens=asked.prompt_tokens + self._assembly.offset,
-            output_tokens=asked.max_tokens - self._assembly.offset,
-            first_token_timeout=whole - waited,
+            request=model_request.headers.request,
+            stream=ids.StreamId(f'{model_request.headers.request}.{number}'),
+            entry=self._context.member,
+            service=model_request.service.name,
+            site=self._context.current_site(),
+            caller=model_request.caller,
+            urgency=model_request.urgency,
+            prompt_tokens=model_request.prompt_tokens + self._assembler.offset,
+            output_tokens=model_request.max_tokens - self._assembler.offset,
+            first_token_timeout=timeout - elapsed,
             blocks=self._blocks,
-            avoided_engines=tuple(self._avoid),
-            data_centre=self._means.data_centre,
-            revision=self._means.current_revision(),
-            ticket=asked.headers.ticket,
+            avoided_engines=tuple(self._avoided_engines),
+            data_centre=self._context.data_centre,
+            revision=self._context.current_revision(),
+            ticket=model_request.headers.ticket,
         )
 
-    def _engines_of(
+    def _find_engines(
         self, placed: messages.Placed
     ) -> attempt_module.EnginePair | None:
-        prefill = self._means.find_engine(placed.prefill)
-        decode = self._means.find_engine(placed.decode)
+        prefill = self._context.find_engine(placed.prefill)
+        decode = self._context.find_engine(placed.decode)
         if prefill is None or decode is None:
             return None
         return attempt_module.EnginePair(prefill, decode)
 
-    def _hold(
+    def _record_attempt(
         self,
         request: messages.PlaceRequest,
         engines: attempt_module.EnginePair,
     ) -> None:
-        cell = self._means.placement.cell_of(request)
+        cell = self._context.placement.cell_of(request)
         held = messages.Held(
             stream=request.stream,
             cell=cell or ids.CellId(''),
@@ -240,10 +252,10 @@
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
         )
-        self._means.placement.hold(held)
+        self._context.placement.record_attempt(held)
 
 
-def _spent(failure: errors.Failure) -> errors.Failure:
+def _retries_spent(failure: errors.Failure) -> errors.Failure:
     """Return the failure of a request that has no retry left."""
     detail = f'{failure.reason.name} {failure.detail}'
     return errors.Failure(errors.RETRIES_SPENT, detail, 1.0)
--- a/galenahatch/inbound.py
+++ b/galenahatch/inbound.py
@@ -34,8 +34,8 @@
 OUTCOME: typing.Final = 'Galenahatch-Outcome'
 TICKET: typing.Final = 'Galenahatch-Ticket'
 REQUEST_ID: typing.Final = 'Galenahatch-Request-Id'
-_LONGEST_KEY: typing.Final = 200
-_LONGEST_DEADLINE_MS: typing.Final = 24 * 3600 * 1000
+_MAX_KEY_LENGTH: typing.Final = 200
+_MAX_DEADLINE_MS: typing.Final = 24 * 3600 * 1000
 _DEFAULT_MAX_TOKENS: typing.Final = 256
 
 
@@ -107,8 +107,8 @@
     chat: bool
 
 
-_COMPLETION: typing.Final = msgspec.json.Decoder(CompletionBody)
-_CHAT: typing.Final = msgspec.json.Decoder(ChatBody)
+_COMPLETION_DECODER: typing.Final = msgspec.json.Decoder(CompletionBody)
+_CHAT_DECODER: typing.Final = msgspec.json.Decoder(ChatBody)
 
 
 def read_headers(
@@ -116,34 +116,36 @@
 ) -> Headers | errors.Failure:
     """Return the checked headers of a request."""
     key = headers.get(IDEMPOTENCY_KEY, '')
-    if len(key) > _LONGEST_KEY or not key.isprintable():
-        return _bad_header(IDEMPOTENCY_KEY, 'at most 200 printable letters')
+    if len(key) > _MAX_KEY_LENGTH or not key.isprintable():
+        return _bad_header_failure(
+            IDEMPOTENCY_KEY, 'at most 200 printable letters'
+        )
     flag = headers.get(NON_IDEMPOTENT, 'false').lower()
     if flag not in ('true', 'false'):
-        return _bad_header(NON_IDEMPOTENT, 'true or false')
+        return _bad_header_failure(NON_IDEMPOTENT, 'true or false')
     if flag == 'true' and not key:
         return errors.Failure(errors.KEY_REQUIRED)
-    deadline = _deadline(headers.get(DEADLINE))
+    deadline = _parse_deadline(headers.get(DEADLINE))
     if isinstance(deadline, errors.Failure):
         return deadline
     urgency = None
     if PRIORITY in headers:
         urgency = schema.urgency(headers[PRIORITY].lower())
         if urgency is None:
-            return _bad_header(PRIORITY, 'urgent, normal or bulk')
+            return _bad_header_failure(PRIORITY, 'urgent, normal or bulk')
     request = ids.RequestId(f'r{clock.token()[:20]}')
     ticket = headers.get(TICKET, '')
-    if len(ticket) > _LONGEST_KEY:
-        return _bad_header(TICKET, 'the ticket of a refusal')
+    if len(ticket) > _MAX_KEY_LENGTH:
+        return _bad_header_failure(TICKET, 'the ticket of a refusal')
     return Headers(request, key, flag == 'true', deadline, urgency, ticket)
 
 
-def _deadline(text: str | None) -> int | None | errors.Failure:
+def _parse_deadline(text: str | None) -> int | None | errors.Failure:
     if text is None:
         return None
     number = int(text) if text.isascii() and text.isdigit() else 0
-    if not 0 < number <= _LONGEST_DEADLINE_MS:
-        return _bad_header(DEADLINE, 'milliseconds, from 1 to one day')
+    if not 0 < number <= _MAX_DEADLINE_MS:
+        return _bad_header_failure(DEADLINE, 'milliseconds, from 1 to one day')
     return number
 
 
@@ -174,7 +176,7 @@
     service = settings.service(parsed.model)
     if service is None:
         return errors.Failure(errors.UNKNOWN_MODEL, parsed.model[:100])
-    prompt = _prompt(parsed)
+    prompt = _prompt_text(parsed)
     if not prompt:
         return errors.Failure(errors.BAD_FIELD, 'prompt: empty')
     if not 0 < parsed.max_tokens <= service.max_output_tokens:
@@ -187,7 +189,7 @@
     deadline = min(
         service.deadline_ms, headers.deadline_ms or service.deadline_ms
     )
-    wait = service.wait_ms or service.first_token_ms
+    first_token_timeout_ms = service.wait_ms or service.first_token_ms
     return ModelRequest(
         headers=headers,
         caller=caller.name,
@@ -196,9 +198,9 @@
         prompt_tokens=tokens,
         max_tokens=parsed.max_tokens,
         stream=parsed.stream,
-        urgency=_urgency(headers, caller, service),
+        urgency=_effective_urgency(headers, caller, service),
         deadline=deadline / 1000,
-        patience=min(wait, deadline) / 1000,
+        patience=min(first_token_timeout_ms, deadline) / 1000,
         chat=chat,
     )
 
@@ -208,29 +210,29 @@
 ) -> CompletionBody | ChatBody | errors.Failure:
     try:
         if chat:
-            return _CHAT.decode(body)
-        return _COMPLETION.decode(body)
+            return _CHAT_DECODER.decode(body)
+        return _COMPLETION_DECODER.decode(body)
     except msgspec.ValidationError as error:
         return errors.Failure(errors.BAD_FIELD, str(error))
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return errors.Failure(errors.BAD_JSON, str(error))
 
 
-def _prompt(body: CompletionBody | ChatBody) -> str:
+def _prompt_text(body: CompletionBody | ChatBody) -> str:
     if isinstance(body, CompletionBody):
         return body.prompt
     return '\n'.join(f'{m.role}: {m.content}' for m in body.messages)
 
 
-def _urgency(
+def _effective_urgency(
     headers: Headers, caller: schema.Caller, service: schema.ModelService
 ) -> states.Urgency:
     """Return the class asked for, but none better than the caller's."""
-    usual = schema.urgency(service.urgency) or states.Urgency.URGENT
-    best = schema.urgency(caller.urgency) or states.Urgency.URGENT
-    asked = usual if headers.urgency is None else headers.urgency
-    return max(asked, best)
+    default = schema.urgency(service.urgency) or states.Urgency.URGENT
+    highest = schema.urgency(caller.urgency) or states.Urgency.URGENT
+    requested = default if headers.urgency is None else headers.urgency
+    return max(requested, highest)
 
 
-def _bad_header(name: str, expected: str) -> errors.Failure:
+def _bad_header_failure(name: str, expected: str) -> errors.Failure:
     return errors.Failure(errors.BAD_HEADER, f'{name}: expected {expected}')
--- a/galenahatch/orphans.py
+++ b/galenahatch/orphans.py
@@ -29,12 +29,12 @@
 from galenahatch import messages
 from galenahatch import peers as peers_module
 
-LOOK: typing.Final = 0.25
-_ALONE_FACTOR: typing.Final = 2
+CHECK_INTERVAL_S: typing.Final = 0.25
+_UNCONFIRMED_FACTOR: typing.Final = 2
 _log = logs.Log('orphans')
 
 
-class Orphans:
+class OrphanCanceller:
     """Watched streams and their entries.
 
     Args:
@@ -47,21 +47,21 @@
         self,
         peers: peers_module.Peers,
         canceller: cancelling.Canceller,
-        forget: collections.abc.Callable[[ids.MemberId], None],
+        on_entry_gone: collections.abc.Callable[[ids.MemberId], None],
     ) -> None:
         self._peers = peers
         self._canceller = canceller
-        self._forget = forget
+        self._on_entry_gone = on_entry_gone
         self._watch = watch.StreamWatch()
         # When a second scheduler last said that it hears an entry.
-        self._vouched: dict[ids.MemberId, float] = {}
+        self._confirmed_alive_at: dict[ids.MemberId, float] = {}
 
     @property
     def count(self) -> int:
         """Streams that are watched."""
         return self._watch.count()
 
-    def take(
+    def handle_message(
         self, message: messages.Watch | messages.Unwatch | messages.HeldReport
     ) -> None:
         """Take an entry's word on its streams."""
@@ -75,40 +75,44 @@
         else:
             self._watch.remove(message.entry, message.stream)
 
-    def placed(self, entry: ids.MemberId, held: messages.Held) -> None:
+    def record_placement(
+        self, entry: ids.MemberId, held: messages.Held
+    ) -> None:
         """Watch an attempt that this scheduler placed itself."""
         incarnation = self._peers.membership.incarnation_of(entry)
         if incarnation is not None:
             self._watch.add(entry, incarnation, (held,))
 
-    def ended(self, stream: ids.StreamId) -> None:
+    def remove_stream(self, stream: ids.StreamId) -> None:
         """Forget an attempt whose entry released it."""
         self._watch.remove_stream(stream)
 
-    def heard(self, heartbeat: messages.Heartbeat) -> None:
+    def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """Take a heartbeat."""
         orphans = self._watch.record_heartbeat(
             heartbeat.member, heartbeat.incarnation
         )
         self._cancel(heartbeat.member, orphans, 'restarted')
 
-    def answered(self, reply: messages.AliveReply) -> None:
+    def record_reply(self, reply: messages.AliveReply) -> None:
         """Take a second scheduler's word on an entry."""
         now = clock.now()
         limit = self._peers.membership.silence_timeout
-        mine = self._peers.membership.silence_duration(reply.member, now)
+        own_silence = self._peers.membership.silence_duration(
+            reply.member, now
+        )
         if 0 <= reply.silence <= limit:
-            self._vouched[reply.member] = now
+            self._confirmed_alive_at[reply.member] = now
         # Who has never heard the entry may have just started.
-        elif reply.silence > limit and mine > limit:
-            if not self._is_vouched(reply.member, now):
-                self._gone(reply.member, 'confirmed')
+        elif reply.silence > limit and own_silence > limit:
+            if not self._is_confirmed_alive(reply.member, now):
+                self._cancel_entry(reply.member, 'confirmed')
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Look for silent entries."""
-        self.look_now(clock.now())
+        self.check_at(clock.now())
 
-    def look_now(self, now: float) -> None:
+    def check_at(self, now: float) -> None:
         """Look for silent entries.
 
         Args:
@@ -118,41 +122,41 @@
         silent = membership.silent_members(now)
         for entry in self._watch.entries_to_confirm(silent, now):
             if membership.is_delisted(entry):
-                self._gone(entry, 'delisted')
+                self._cancel_entry(entry, 'delisted')
                 continue
-            patience = membership.silence_timeout * _ALONE_FACTOR
-            if self._ask(entry):
-                patience *= _ALONE_FACTOR
-            if self._is_vouched(entry, now):
+            silence_limit = membership.silence_timeout * _UNCONFIRMED_FACTOR
+            if self._query_schedulers(entry):
+                silence_limit *= _UNCONFIRMED_FACTOR
+            if self._is_confirmed_alive(entry, now):
                 continue
-            if membership.silence_duration(entry, now) > patience:
-                self._gone(entry, 'silent')
+            if membership.silence_duration(entry, now) > silence_limit:
+                self._cancel_entry(entry, 'silent')
 
-    def _is_vouched(self, entry: ids.MemberId, now: float) -> bool:
+    def _is_confirmed_alive(self, entry: ids.MemberId, now: float) -> bool:
         """Return whether another scheduler lately heard an entry."""
-        at = self._vouched.get(entry)
+        at = self._confirmed_alive_at.get(entry)
         return (
             at is not None
             and now - at <= self._peers.membership.silence_timeout
         )
 
-    def _ask(self, entry: ids.MemberId) -> bool:
+    def _query_schedulers(self, entry: ids.MemberId) -> bool:
         """Ask every other live scheduler; False when there is none."""
-        asked = False
+        was_sent = False
         for member in self._peers.schedulers():
             if member != self._peers.member:
                 query = messages.AliveQuery(entry)
-                asked = self._peers.send(member, query) or asked
-        return asked
+                was_sent = self._peers.send(member, query) or was_sent
+        return was_sent
 
-    def _gone(self, entry: ids.MemberId, why: str) -> None:
+    def _cancel_entry(self, entry: ids.MemberId, why: str) -> None:
         orphans = self._watch.confirm_gone(entry)
-        self._vouched.pop(entry, None)
+        self._confirmed_alive_at.pop(entry, None)
         _log.warning(
             'Entry is gone.', entry=entry, why=why, streams=len(orphans)
         )
         self._cancel(entry, orphans, 'entry_gone')
-        self._forget(entry)
+        self._on_entry_gone(entry)
 
     def _cancel(
         self, entry: ids.MemberId, orphans: list[messages.Held], cause: str
@@ -162,9 +166,9 @@
                 held.stream,
                 (held.prefill, held.decode),
                 cause,
-                _nothing,
+                _do_nothing,
             )
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Do nothing: the places of a gone entry are freed at once."""
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -35,8 +35,8 @@
 from galenahatch import states
 from galenahatch import tasks
 
-_SECONDS_PER_MEMBER: typing.Final = 0.02
-_FIRST_LINKS: typing.Final = 8
+_INTERVAL_PER_MEMBER_S: typing.Final = 0.02
+_MAX_INITIAL_LINKS: typing.Final = 8
 _log = logs.Log('peers')
 
 Handler = collections.abc.Callable[[messages.AnyMessage], None]
@@ -58,14 +58,14 @@
         self,
         options: options_module.Options,
         role: states.Role,
-        in_force: distribution.Distribution,
-        platform: vms.Vms,
+        settings: distribution.Distribution,
+        vm_client: vms.Vms,
         handler: Handler,
     ) -> None:
         self._options = options
         self._role = role
-        self._config = in_force
-        self._vms = platform
+        self._config = settings
+        self._vms = vm_client
         self._handler = handler
         self._links: dict[ids.MemberId, bus.Link[messages.AnyMessage]] = {}
         self._vm_listeners: list[VmListener] = []
@@ -90,16 +90,18 @@
         """Call a function after each round of heartbeats."""
         self._heartbeat_listeners.append(listener)
 
-    def start(self, owner: tasks.Tasks) -> None:
+    def start(self, task_group: tasks.Tasks) -> None:
         """Start the tasks."""
         for address in self._options.peers:
             self._connect(address)
         interval = self.interval
-        owner.keep(
+        task_group.keep(
             'heartbeats', lambda: tasks.every(interval, self._send_heartbeats)
         )
         poll = self._options.vms_poll
-        owner.keep('vms', lambda: tasks.every(lambda: poll, self._read_vms))
+        task_group.keep(
+            'vms', lambda: tasks.every(lambda: poll, self._read_vms)
+        )
 
     def close(self) -> None:
         """Close every link."""
@@ -109,8 +111,8 @@
 
     def interval(self) -> float:
         """Return the time between two heartbeats."""
-        grown = self.membership.count() * _SECONDS_PER_MEMBER
-        return max(self._options.heartbeat, grown)
+        scaled = self.membership.count() * _INTERVAL_PER_MEMBER_S
+        return max(self._options.heartbeat, scaled)
 
     def schedulers(self) -> list[ids.MemberId]:
         """Return the live schedulers."""
@@ -145,8 +147,8 @@
     def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """Take a heartbeat, from a link or from the hub."""
         now = clock.now()
-        fresh = self.membership.record_heartbeat(heartbeat, now)
-        if fresh and heartbeat.member != self.member:
+        is_new = self.membership.record_heartbeat(heartbeat, now)
+        if is_new and heartbeat.member != self.member:
             _log.info(
                 'Member seen.',
                 member=heartbeat.member,
@@ -168,40 +170,40 @@
             listener()
 
     async def _read_vms(self) -> None:
-        listed = await self._vms.read()
-        if isinstance(listed, errors.Failure):
+        vm_list = await self._vms.read()
+        if isinstance(vm_list, errors.Failure):
             return
-        system = [vm for vm in listed.vms if vm.group == vms.SYSTEM]
+        system_vms = [vm for vm in vm_list.vms if vm.group == vms.SYSTEM]
         self.membership.record_vm_list(
-            (vm.address for vm in system if vm.state == 'live'),
-            (vm.address for vm in system if vm.state != 'live'),
+            (vm.address for vm in system_vms if vm.state == 'live'),
+            (vm.address for vm in system_vms if vm.state != 'live'),
         )
-        self._system_vms = {vm.address: vm for vm in system}
+        self._system_vms = {vm.address: vm for vm in system_vms}
         self._update_links()
         for listener in self._vm_listeners:
-            listener(listed)
+            listener(vm_list)
 
     def _update_links(self) -> None:
-        wanted = {vm.address for vm in self._reachable_vms()}
-        wanted.update(self._options.peers)
-        for address in sorted(wanted):
+        addresses = {vm.address for vm in self._reachable_vms()}
+        addresses.update(self._options.peers)
+        for address in sorted(addresses):
             self._connect(address)
         for member in list(self._links):
             address = membership.address_of(member)
-            silent = self.membership.silence_duration(member, clock.now())
-            gone = address not in wanted and not 0 <= silent < 30
-            if gone:
+            silence = self.membership.silence_duration(member, clock.now())
+            unreachable = address not in addresses and not 0 <= silence < 30
+            if unreachable:
                 self._links.pop(member).close()
 
     def _reachable_vms(self) -> list[vms.Vm]:
         """Return the VMs of this region, or a few while it is not known."""
-        listed = sorted(self._system_vms.values(), key=lambda vm: vm.name)
+        vm_list = sorted(self._system_vms.values(), key=lambda vm: vm.name)
         region = self._config.region_of(self._options.data_centre)
         if region is None:
-            return listed[:_FIRST_LINKS]
+            return vm_list[:_MAX_INITIAL_LINKS]
         return [
             vm
-            for vm in listed
+            for vm in vm_list
             if self._config.region_of(ids.DataCentre(vm.data_centre)) == region
         ]
 
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -39,7 +39,7 @@
 from galenahatch import states
 from galenahatch import trail
 
-_IDLE_LOOK: typing.Final = 0.25
+_IDLE_INTERVAL_S: typing.Final = 0.25
 _log = logs.Log('placement')
 
 
@@ -57,19 +57,21 @@
         self,
         settings: distribution.Distribution,
         data_centre: ids.DataCentre,
-        kept: trail.Trail,
-        placed: collections.abc.Callable[[ids.MemberId, messages.Held], None],
+        trail_of_decisions: trail.Trail,
+        on_placed: collections.abc.Callable[
+            [ids.MemberId, messages.Held], None
+        ],
     ) -> None:
         self._config = settings
         self._data_centre = data_centre
-        self._trail = kept
-        self._placed = placed
+        self._trail = trail_of_decisions
+        self._on_placed = on_placed
         self._inbox: asyncio.Queue[placementevents.PlacementEvent] = (
             asyncio.Queue()
         )
         self._cells: dict[ids.CellId, cell_module.Cell] = {}
         self._cell_by_stream: dict[ids.StreamId, ids.CellId] = {}
-        self._waiters: dict[
+        self._reply_senders: dict[
             ids.StreamId, collections.abc.Callable[[messages.AnyMessage], None]
         ] = {}
         self._leaving: frozenset[ids.EngineName] = frozenset()
@@ -77,8 +79,8 @@
         # Of the plans; the configuration in force may be ahead of them.
         self._revision = ids.Revision(0)
         # Requests of entries that are ahead of this scheduler's revision.
-        self._early: list[placementevents.EntryMessage] = []
-        self._plans: collections.abc.Mapping[
+        self._deferred: list[placementevents.EntryMessage] = []
+        self._cell_configs: collections.abc.Mapping[
             ids.CellId, cells_module.CellConfig
         ] = {}
 
@@ -92,78 +94,84 @@
         """The cells, in no special order."""
         return tuple(self._cells.values())
 
-    def put(self, news: placementevents.PlacementEvent) -> None:
+    def put(self, event: placementevents.PlacementEvent) -> None:
         """Put news into the inbox."""
-        self._inbox.put_nowait(news)
+        self._inbox.put_nowait(event)
 
-    def loads(self) -> tuple[messages.EngineLoad, ...]:
+    def engine_loads(self) -> tuple[messages.EngineLoad, ...]:
         """Return the engines of all cells."""
-        found = []
+        plan = []
         for cell in self._cells.values():
             for prefill in cell.prefills:
-                found.append(
+                plan.append(
                     messages.EngineLoad(
                         prefill.name,
                         cell.service.name,
-                        _standing(prefill.leaving, prefill.health.state.value),
+                        _engine_status(
+                            prefill.leaving, prefill.health.state.value
+                        ),
                         prefill.queued_prompts,
                         prefill.settings.places,
                         0.0,
                     )
                 )
             for decode in cell.decodes:
-                found.append(
+                plan.append(
                     messages.EngineLoad(
                         decode.name,
                         cell.service.name,
-                        _standing(decode.leaving, decode.health.state.value),
+                        _engine_status(
+                            decode.leaving, decode.health.state.value
+                        ),
                         decode.reserved,
                         decode.places,
                         decode.seconds_per_token,
                     )
                 )
-        return tuple(found)
+        return tuple(plan)
 
     async def run(self) -> None:
         """Work through the inbox until cancelled."""
         while True:
-            timeout = self._next_look()
+            timeout = self._next_timeout()
             with contextlib.suppress(asyncio.TimeoutError):
                 async with asyncio.timeout(timeout):
-                    self._take(await self._inbox.get())
+                    self._handle_event(await self._inbox.get())
             while not self._inbox.empty():
-                self._take(self._inbox.get_nowait())
+                self._handle_event(self._inbox.get_nowait())
             self._decide()
 
-    def _next_look(self) -> float:
+    def _next_timeout(self) -> float:
         now = clock.now()
-        looks = [cell.next_decision_at(now) for cell in self._cells.values()]
-        times = [look - now for look in looks if look is not None]
-        return max(0.001, min(times, default=_IDLE_LOOK))
-
-    def _take(self, news: placementevents.PlacementEvent) -> None:
-        if isinstance(news, placementevents.EntryMessage):
-            self._take_message(news)
-        elif isinstance(news, placementevents.EngineReport):
-            self._take_report(news)
-        elif isinstance(news, placementevents.EntryGone):
-            self._forget_entry(news.entry)
+        decision_times = [
+            cell.next_decision_at(now) for cell in self._cells.values()
+        ]
+        times = [at - now for at in decision_times if at is not None]
+        return max(0.001, min(times, default=_IDLE_INTERVAL_S))
+
+    def _handle_event(self, event: placementevents.PlacementEvent) -> None:
+        if isinstance(event, placementevents.EntryMessage):
+            self._handle_message(event)
+        elif isinstance(event, placementevents.EngineReport):
+            self._apply_engine_report(event)
+        elif isinstance(event, placementevents.EntryGone):
+            self._forget_entry(event.entry)
         else:
-            self._refresh(news)
+            self._refresh(event)
 
-    def _take_message(self, news: placementevents.EntryMessage) -> None:
-        message = news.message
+    def _handle_message(self, event: placementevents.EntryMessage) -> None:
+        message = event.message
         now = clock.now()
         if isinstance(message, messages.PlaceRequest):
-            self._submit(message, news.send, now)
+            self._submit(message, event.send, now)
         elif isinstance(message, messages.Progress):
-            cell = self._cell_with(message.stream)
+            cell = self._cell_of_stream(message.stream)
             if cell is not None:
                 cell.record_progress(message, now)
         elif isinstance(message, messages.Release):
             self._release(message, now)
         elif isinstance(message, messages.HeldReport):
-            self._rebuild(message, now)
+            self._reconcile(message, now)
 
     def _submit(
         self,
@@ -171,30 +179,32 @@
         send: collections.abc.Callable[[messages.AnyMessage], None],
         now: float,
     ) -> None:
-        known = self._cell_with(request.stream)
-        if known is not None:
-            self._repeat(known, request, send)
+        existing = self._cell_of_stream(request.stream)
+        if existing is not None:
+            self._answer_repeated(existing, request, send)
             return
         cell_id, cell = self._cell_for(request)
         if cell_id is None or cell is None:
             if request.revision > self._revision:
-                self._early.append(placementevents.EntryMessage(request, send))
+                self._deferred.append(
+                    placementevents.EntryMessage(request, send)
+                )
                 return
             reason = errors.UNKNOWN_MODEL.name
             send(messages.GivenUp(request.stream, reason, 1.0, 'no cell'))
             return
-        share, refused = self._share(cell, request)
-        if refused is not None:
-            reason = refused.name
+        share, refusal = self._caller_share(cell, request)
+        if refusal is not None:
+            reason = refusal.name
             send(messages.GivenUp(request.stream, reason, 1.0, 'share'))
             return
         self._cell_by_stream[request.stream] = cell_id
-        self._waiters[request.stream] = send
+        self._reply_senders[request.stream] = send
         decision = cell.submit(request, share, now)
         if decision is not None:
             self._announce(decision)
 
-    def _repeat(
+    def _answer_repeated(
         self,
         cell: cell_module.Cell,
         request: messages.PlaceRequest,
@@ -203,7 +213,7 @@
         """Answer a request that was sent again."""
         reservation = cell.active_reservations.get(request.stream)
         if reservation is None:
-            self._waiters[request.stream] = send
+            self._reply_senders[request.stream] = send
             return
         send(
             messages.Placed(
@@ -214,7 +224,7 @@
             )
         )
 
-    def _share(
+    def _caller_share(
         self, cell: cell_module.Cell, request: messages.PlaceRequest
     ) -> tuple[float, errors.Reason | None]:
         """Return a caller's weight, or why it may not wait."""
@@ -227,84 +237,89 @@
         return caller.share, None
 
     def _release(self, release: messages.Release, now: float) -> None:
-        cell = self._cell_with(release.stream)
+        cell = self._cell_of_stream(release.stream)
         self._cell_by_stream.pop(release.stream, None)
-        self._waiters.pop(release.stream, None)
+        self._reply_senders.pop(release.stream, None)
         request = request_of(release.stream)
         self._trail.add(request, f'released {release.note}')
         if cell is not None:
-            before = release.stream in cell.active_reservations
+            was_reserved = release.stream in cell.active_reservations
             cell.release(release, now)
-            if before:
+            if was_reserved:
                 metrics.places_reserved.add(-1)
 
-    def _rebuild(self, report: messages.HeldReport, now: float) -> None:
+    def _reconcile(self, report: messages.HeldReport, now: float) -> None:
         by_cell: dict[ids.CellId, list[messages.Held]] = {}
         for held in report.owned:
-            if held.cell not in self._cells and held.cell in self._plans:
-                self._make_cell(self._plans[held.cell])
+            if (
+                held.cell not in self._cells
+                and held.cell in self._cell_configs
+            ):
+                self._ensure_cell(self._cell_configs[held.cell])
             self._cell_by_stream.setdefault(held.stream, held.cell)
             by_cell.setdefault(held.cell, []).append(held)
         for cell_id, cell in self._cells.items():
             held_here = tuple(by_cell.get(cell_id, ()))
-            part = messages.HeldReport(
+            cell_report = messages.HeldReport(
                 report.entry, report.incarnation, held_here
             )
-            cell.reconcile(part, now)
+            cell.reconcile(cell_report, now)
 
-    def _take_report(self, news: placementevents.EngineReport) -> None:
+    def _apply_engine_report(
+        self, event: placementevents.EngineReport
+    ) -> None:
         now = clock.now()
-        load = news.load
+        load = event.load
         for cell in self._cells.values():
-            if not cell.has_engine(news.engine):
+            if not cell.has_engine(event.engine):
                 continue
             cell.record_token_interval(
-                news.engine, load.seconds_per_token, now
+                event.engine, load.seconds_per_token, now
             )
-            for event in load.events:
+            for cache_event in load.events:
                 if not cell.prefix_index.accept_event(
-                    news.engine, load.incarnation, event.number, now
+                    event.engine, load.incarnation, cache_event.number, now
                 ):
                     continue
-                if event.evicted:
+                if cache_event.evicted:
                     cell.prefix_index.remove_prefixes(
-                        news.engine, event.blocks
+                        event.engine, cache_event.blocks
                     )
                 else:
                     cell.prefix_index.add_prefixes(
-                        news.engine, event.blocks, now
+                        event.engine, cache_event.blocks, now
                     )
 
     def _forget_entry(self, entry: ids.MemberId) -> None:
         for cell in self._cells.values():
             cell.remove_entry(entry, clock.now())
 
-    def _refresh(self, news: placementevents.Refresh) -> None:
-        self._leaving = news.leaving
-        self._plans = news.plans
-        self._revision = news.revision
-        early, self._early = self._early, []
-        for waiting in early:
-            self._inbox.put_nowait(waiting)
-        for cell_id in news.owned:
-            self._make_cell(news.plans[cell_id])
+    def _refresh(self, event: placementevents.OwnershipUpdate) -> None:
+        self._leaving = event.leaving
+        self._cell_configs = event.cell_configs
+        self._revision = event.revision
+        deferred, self._deferred = self._deferred, []
+        for deferred_message in deferred:
+            self._inbox.put_nowait(deferred_message)
+        for cell_id in event.owned:
+            self._ensure_cell(event.cell_configs[cell_id])
         for cell_id, cell in list(self._cells.items()):
-            if cell_id not in news.owned:
+            if cell_id not in event.owned:
                 cell.expect_no_load_reports()
-            found = news.plans.get(cell_id)
-            if found is not None:
+            plan = event.cell_configs.get(cell_id)
+            if plan is not None:
                 cell.configure(
-                    found.service, found.engines, found.allowed_by_site
+                    plan.service, plan.engines, plan.allowed_by_site
                 )
                 cell.set_leaving(self._leaving)
             elif not cell.queue_length and not cell.active_reservations:
                 del self._cells[cell_id]
 
-    def _make_cell(self, plan: cells_module.CellConfig) -> cell_module.Cell:
+    def _ensure_cell(self, plan: cells_module.CellConfig) -> cell_module.Cell:
         cell = self._cells.get(plan.cell)
         if cell is None:
-            source = random.Random(clock.incarnation())
-            cell = cell_module.Cell(plan.service, source)
+            random_source = random.Random(clock.incarnation())
+            cell = cell_module.Cell(plan.service, random_source)
             self._cells[plan.cell] = cell
         cell.configure(plan.service, plan.engines, plan.allowed_by_site)
         cell.set_leaving(self._leaving)
@@ -317,7 +332,7 @@
         if region is None:
             return None, None
         cell_id = cells_module.cell_of_request(
-            self._plans.keys(),
+            self._cell_configs.keys(),
             request.service,
             region,
             request.blocks,
@@ -325,11 +340,11 @@
         )
         if cell_id is None:
             return None, None
-        return cell_id, self._cells.get(cell_id) or self._make_cell(
-            self._plans[cell_id]
+        return cell_id, self._cells.get(cell_id) or self._ensure_cell(
+            self._cell_configs[cell_id]
         )
 
-    def _cell_with(self, stream: ids.StreamId) -> cell_module.Cell | None:
+    def _cell_of_stream(self, stream: ids.StreamId) -> cell_module.Cell | None:
         cell_id = self._cell_by_stream.get(stream)
         return self._cells.get(cell_id) if cell_id else None
 
@@ -349,14 +364,14 @@
         """Send a decision to its entry, log it, and keep it."""
         answer = decision.answer
         request = decision.request
-        send = self._waiters.pop(answer.stream, None)
+        send = self._reply_senders.pop(answer.stream, None)
         if isinstance(answer, messages.Placed):
             line = (
                 f'placed {answer.prefill}+{answer.decode} {answer.explanation}'
             )
             metrics.places_reserved.add(1)
             metrics.link_reserved.add(answer.transfer)
-            self._placed(request.entry, self._held(request, answer))
+            self._on_placed(request.entry, self._held_attempt(request, answer))
             _log.info(
                 'Request placed.',
                 request=request.request,
@@ -381,15 +396,15 @@
         if send is not None:
             send(answer)
 
-    def _held(
-        self, request: messages.PlaceRequest, placed: messages.Placed
+    def _held_attempt(
+        self, request: messages.PlaceRequest, on_placed: messages.Placed
     ) -> messages.Held:
         return messages.Held(
-            stream=placed.stream,
-            cell=self._cell_by_stream[placed.stream],
+            stream=on_placed.stream,
+            cell=self._cell_by_stream[on_placed.stream],
             service=request.service,
-            prefill=placed.prefill,
-            decode=placed.decode,
+            prefill=on_placed.prefill,
+            decode=on_placed.decode,
             stage=states.Stage.PREFILL,
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
@@ -401,5 +416,5 @@
     return ids.RequestId(stream.rpartition('.')[0])
 
 
-def _standing(leaving: bool, health: str) -> str:
+def _engine_status(leaving: bool, health: str) -> str:
     return states.Standing.LEAVING.value if leaving else health
--- a/galenahatch/placementclient.py
+++ b/galenahatch/placementclient.py
@@ -35,11 +35,11 @@
 from galenahatch import peers as peers_module
 from galenahatch import states
 
-_AGAIN: typing.Final = 1.0
-REPORT_EVERY: typing.Final = 8.0
+_RESEND_INTERVAL_S: typing.Final = 1.0
+REPORT_INTERVAL_S: typing.Final = 8.0
 """Seconds between complete reports of attempts."""
-_NO_SCHEDULER_WAIT: typing.Final = 0.1
-_RETRY_AFTER: typing.Final = 2.0
+_NO_SCHEDULER_DELAY_S: typing.Final = 0.1
+_RETRY_AFTER_S: typing.Final = 2.0
 _log = logs.Log('placing')
 
 
@@ -62,7 +62,7 @@
         self._config = settings
         self._data_centre = data_centre
         self._cells: frozenset[ids.CellId] = frozenset()
-        self._waiting: dict[
+        self._pending: dict[
             ids.StreamId,
             asyncio.Future[messages.Placed | messages.GivenUp],
         ] = {}
@@ -70,14 +70,14 @@
         self._owners: dict[ids.StreamId, ids.MemberId] = {}
         self._watchers: dict[ids.StreamId, ids.MemberId | None] = {}
         # When each scheduler had its last report, and who it was then.
-        self._reported: dict[ids.MemberId, tuple[int | None, float]] = {}
+        self._last_reports: dict[ids.MemberId, tuple[int | None, float]] = {}
 
     @property
-    def held(self) -> int:
+    def in_flight(self) -> int:
         """Attempts in flight."""
         return len(self._held)
 
-    def replan(self) -> None:
+    def apply_configuration(self) -> None:
         """Take a new configuration."""
         region = self._config.region_of(self._data_centre)
         if region is not None:
@@ -88,46 +88,48 @@
         self, request: messages.PlaceRequest
     ) -> messages.Placed | errors.Failure:
         """Return the engines for an attempt, or why there are none."""
-        until = clock.now() + request.first_token_timeout
+        give_up_at = clock.now() + request.first_token_timeout
         future: asyncio.Future[messages.Placed | messages.GivenUp]
         future = asyncio.get_running_loop().create_future()
-        self._waiting[request.stream] = future
+        self._pending[request.stream] = future
         try:
-            return await self._ask(request, future, until)
+            return await self._send_until_answered(request, future, give_up_at)
         except asyncio.CancelledError:
             self.release(messages.Release(request.stream, note='withdrawn'))
             raise
         finally:
-            self._waiting.pop(request.stream, None)
+            self._pending.pop(request.stream, None)
 
-    async def _ask(
+    async def _send_until_answered(
         self,
         request: messages.PlaceRequest,
         future: asyncio.Future[messages.Placed | messages.GivenUp],
-        until: float,
+        give_up_at: float,
     ) -> messages.Placed | errors.Failure:
         while True:
-            left = until - clock.now()
-            if left <= 0:
-                note = messages.Release(request.stream, note='no answer')
-                self.release(note)
+            remaining = give_up_at - clock.now()
+            if remaining <= 0:
+                release = messages.Release(request.stream, note='no answer')
+                self.release(release)
                 return errors.Failure(
-                    errors.NO_SCHEDULER, retry_after=_RETRY_AFTER
+                    errors.NO_SCHEDULER, retry_after=_RETRY_AFTER_S
                 )
             owner = self._owner_of_cell(self.cell_of(request))
             if owner is None:
-                await asyncio.sleep(min(left, _NO_SCHEDULER_WAIT))
+                await asyncio.sleep(min(remaining, _NO_SCHEDULER_DELAY_S))
                 continue
             self._owners[request.stream] = owner
-            fresh = msgspec.structs.replace(request, first_token_timeout=left)
-            self._peers.send(owner, fresh)
+            resent = msgspec.structs.replace(
+                request, first_token_timeout=remaining
+            )
+            self._peers.send(owner, resent)
             # The owner gives up in time; its answer is waited for a little
             # beyond that.
             with contextlib.suppress(asyncio.TimeoutError):
-                async with asyncio.timeout(_AGAIN):
-                    return self._outcome(await asyncio.shield(future))
+                async with asyncio.timeout(_RESEND_INTERVAL_S):
+                    return self._apply_reply(await asyncio.shield(future))
 
-    def _outcome(
+    def _apply_reply(
         self, answer: messages.Placed | messages.GivenUp
     ) -> messages.Placed | errors.Failure:
         if isinstance(answer, messages.Placed):
@@ -138,29 +140,29 @@
             reason, answer.explanation, answer.retry_after, answer.ticket
         )
 
-    def answered(self, answer: messages.Placed | messages.GivenUp) -> None:
+    def handle_reply(self, answer: messages.Placed | messages.GivenUp) -> None:
         """Take an owner's answer."""
-        future = self._waiting.get(answer.stream)
+        future = self._pending.get(answer.stream)
         if future is not None and not future.done():
             future.set_result(answer)
         elif answer.stream not in self._held:
             if isinstance(answer, messages.Placed):
-                note = messages.Release(answer.stream, note='late answer')
-                self._peers.broadcast(note)
+                release = messages.Release(answer.stream, note='late answer')
+                self._peers.broadcast(release)
 
-    def hold(self, held: messages.Held) -> None:
+    def record_attempt(self, held: messages.Held) -> None:
         """Note an attempt before its work is sent, and tell watchers."""
         self._held[held.stream] = held
         message = messages.Watch(
             self._peers.member, self._peers.incarnation, held
         )
         # The owner knows of the attempt, since it placed it.
-        watcher = self._watcher(self._owners.get(held.stream))
+        watcher = self._choose_watcher(self._owners.get(held.stream))
         self._watchers[held.stream] = watcher
         if watcher is not None:
             self._peers.send(watcher, message)
 
-    def progress(
+    def report_progress(
         self,
         stream: ids.StreamId,
         stage: states.Stage,
@@ -174,10 +176,10 @@
         self._held[stream] = msgspec.structs.replace(held, stage=stage)
         owner = self._owners.get(stream)
         if owner is not None:
-            news = messages.Progress(
+            progress = messages.Progress(
                 stream, stage, cached_tokens, held.prompt_tokens, seconds
             )
-            self._peers.send(owner, news)
+            self._peers.send(owner, progress)
 
     def release(self, release: messages.Release) -> None:
         """Tell owner and watcher that an attempt holds nothing more."""
@@ -191,7 +193,7 @@
         if watcher is not None and watcher != owner:
             self._peers.send(watcher, unwatch)
 
-    def report(self) -> None:
+    def send_reports(self) -> None:
         """Tell owners and watchers of all attempts in flight, if due.
 
         Called with each heartbeat. Single messages tell of each change, so
@@ -204,13 +206,18 @@
         changed = self._reassign(live)
         for member in live:
             incarnation = self._peers.membership.incarnation_of(member)
-            known, at = self._reported.get(member, (None, -REPORT_EVERY))
-            due = now - at >= REPORT_EVERY or known != incarnation
+            reported_incarnation, at = self._last_reports.get(
+                member, (None, -REPORT_INTERVAL_S)
+            )
+            due = (
+                now - at >= REPORT_INTERVAL_S
+                or reported_incarnation != incarnation
+            )
             if due or member in changed:
-                self._reported[member] = (incarnation, now)
+                self._last_reports[member] = (incarnation, now)
                 self._send_report(member)
-        for member in self._reported.keys() - live:
-            del self._reported[member]
+        for member in self._last_reports.keys() - live:
+            del self._last_reports[member]
 
     def _reassign(self, live: set[ids.MemberId]) -> set[ids.MemberId]:
         """Move attempts of schedulers that are gone; return the new ones."""
@@ -222,7 +229,7 @@
                     self._owners[stream] = owner
                     changed.add(owner)
             if self._watchers.get(stream) not in live:
-                watcher = self._watcher(self._owners.get(stream))
+                watcher = self._choose_watcher(self._owners.get(stream))
                 self._watchers[stream] = watcher
                 if watcher is not None:
                     changed.add(watcher)
@@ -263,10 +270,12 @@
             return None
         return rendezvous.winner(cell, self._peers.schedulers())
 
-    def _watcher(self, owner: ids.MemberId | None) -> ids.MemberId | None:
+    def _choose_watcher(
+        self, owner: ids.MemberId | None
+    ) -> ids.MemberId | None:
         """Return a second scheduler, if possible not on this VM."""
         ranked = rendezvous.rank(self._peers.member, self._peers.schedulers())
         others = [member for member in ranked if member != owner]
-        own = self._peers.member.partition('/')[2].rpartition(':')[0]
-        far = [m for m in others if f'/{own}:' not in m]
-        return next(iter(far or others), None)
+        own_address = self._peers.member.partition('/')[2].rpartition(':')[0]
+        remote = [m for m in others if f'/{own_address}:' not in m]
+        return next(iter(remote or others), None)
--- a/galenahatch/placementevents.py
+++ b/galenahatch/placementevents.py
@@ -49,13 +49,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Refresh:
+class OwnershipUpdate:
     """Configuration, owners or leaving engines may have changed."""
 
     revision: ids.Revision
-    plans: collections.abc.Mapping[ids.CellId, cells_module.CellConfig]
+    cell_configs: collections.abc.Mapping[ids.CellId, cells_module.CellConfig]
     owned: frozenset[ids.CellId]
     leaving: frozenset[ids.EngineName]
 
 
-PlacementEvent = EntryMessage | EngineReport | EntryGone | Refresh
+PlacementEvent = EntryMessage | EngineReport | EntryGone | OwnershipUpdate
--- a/galenahatch/plainservices.py
+++ b/galenahatch/plainservices.py
@@ -55,14 +55,14 @@
 
     def __init__(
         self,
-        repeatable: aiohttp.ClientSession,
-        once: aiohttp.ClientSession,
-        claiming: claimclient.ClaimClient,
+        idempotent_session: aiohttp.ClientSession,
+        non_idempotent_session: aiohttp.ClientSession,
+        claim_client: claimclient.ClaimClient,
         leaving: leaving_module.LeavingUpstreams,
     ) -> None:
-        self._repeatable = repeatable
-        self._once = once
-        self._claiming = claiming
+        self._idempotent_session = idempotent_session
+        self._non_idempotent_session = non_idempotent_session
+        self._claims = claim_client
         self._leaving = leaving
 
     async def serve(
@@ -79,10 +79,10 @@
             return answers.failure_response(
                 errors.Failure(errors.UNKNOWN_MODEL), headers.request
             )
-        call = _call_of(request, body)
-        if not headers.non_idempotent and not unrepeatable(service, call):
-            result = await self._try_each(service, call, headers.request)
-            return _response(result, headers.request)
+        call = _build_call(request, body)
+        if not headers.non_idempotent and not is_unrepeatable(service, call):
+            result = await self._try_upstreams(service, call, headers.request)
+            return _build_response(result, headers.request)
         if not headers.key:
             failure = errors.Failure(errors.KEY_REQUIRED)
             return answers.failure_response(failure, headers.request)
@@ -98,7 +98,7 @@
         key = claim.claim_key(caller.name, headers.key)
         target = f'{service.name} {call.method} {call.path}'
         fingerprint = claim.request_fingerprint(target, call.body)
-        claimed = await self._claiming.acquire(key, fingerprint)
+        claimed = await self._claims.acquire(key, fingerprint)
         if isinstance(claimed, errors.Failure):
             return answers.failure_response(claimed, headers.request)
         if isinstance(claimed, claim.Answer):
@@ -106,11 +106,11 @@
             return answers.build_response(claimed, headers.request)
         # The call goes on when its caller leaves: its answer is kept for a
         # second arrival, and it holds no engine.
-        work = asyncio.ensure_future(
+        task = asyncio.ensure_future(
             self._run_once(service, call, claimed, headers.request)
         )
-        result = await asyncio.shield(work)
-        return _response(result, headers.request)
+        result = await asyncio.shield(task)
+        return _build_response(result, headers.request)
 
     async def _run_once(
         self,
@@ -119,7 +119,7 @@
         claimed: claimclient.Claimed,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
-        if not self._claiming.try_dispatch(claimed):
+        if not self._claims.try_dispatch(claimed):
             return errors.Failure(errors.CLAIM_ABANDONED, retry_after=1.0)
         result = await self._send_once(service, call, request)
         if isinstance(result, service_client.Result):
@@ -129,12 +129,12 @@
                 result.content_type,
                 result.body,
             )
-            self._claiming.finish(claimed, answer)
+            self._claims.finish(claimed, answer)
         elif result.outcome is errors.Outcome.NOT_RUN:
-            self._claiming.abandon(claimed, not_started=True)
+            self._claims.abandon(claimed, not_started=True)
         else:
             answer = answers.failure_answer(result, request)
-            self._claiming.finish(claimed, answer)
+            self._claims.finish(claimed, answer)
         return result
 
     async def _send_once(
@@ -147,14 +147,16 @@
         result: service_client.Result | errors.Failure
         result = errors.Failure(errors.NO_ENGINE, retry_after=1.0)
         for url in self._upstreams(service):
-            result = await self._send(self._once, url, call, service, request)
+            result = await self._send(
+                self._non_idempotent_session, url, call, service, request
+            )
             if isinstance(result, service_client.Result):
                 return result
             if result.reason not in _NOT_STARTED:
                 return result
         return result
 
-    async def _try_each(
+    async def _try_upstreams(
         self,
         service: schema.PlainService,
         call: service_client.Call,
@@ -163,16 +165,16 @@
         """Try each upstream until one answers."""
         result: service_client.Result | errors.Failure
         result = errors.Failure(errors.NO_ENGINE, retry_after=1.0)
-        worst: errors.Failure | None = None
+        started_failure: errors.Failure | None = None
         for url in self._upstreams(service):
             result = await self._send(
-                self._repeatable, url, call, service, request
+                self._idempotent_session, url, call, service, request
             )
             if isinstance(result, service_client.Result):
                 return result
             if result.reason not in _NOT_STARTED:
-                worst = result
-        return worst or result
+                started_failure = result
+        return started_failure or result
 
     async def _send(
         self,
@@ -214,7 +216,7 @@
         ]
 
 
-def unrepeatable(
+def is_unrepeatable(
     service: schema.PlainService, call: service_client.Call
 ) -> bool:
     """Return whether the configuration says that a call runs only once.
@@ -231,7 +233,7 @@
     return False
 
 
-def _call_of(request: web.Request, body: bytes) -> service_client.Call:
+def _build_call(request: web.Request, body: bytes) -> service_client.Call:
     path = '/' + request.rel_url.raw_path.split('/', 4)[-1]
     if request.query_string:
         path = f'{path}?{request.rel_url.raw_query_string}'
@@ -243,7 +245,7 @@
     )
 
 
-def _response(
+def _build_response(
     result: service_client.Result | errors.Failure, request: ids.RequestId
 ) -> web.Response:
     if isinstance(result, errors.Failure):
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -26,10 +26,10 @@
 from galenahatch import schema
 from galenahatch.upstream import engine as engine_client
 
-_AT_ONCE: typing.Final = 32
+_MAX_CONCURRENT_READS: typing.Final = 32
 
 
-class Probes:
+class LoadPoller:
     """Load reports and cache events.
 
     Args:
@@ -41,15 +41,17 @@
     def __init__(
         self,
         client: aiohttp.ClientSession,
-        tell: collections.abc.Callable[[placementevents.PlacementEvent], None],
+        on_report: collections.abc.Callable[
+            [placementevents.PlacementEvent], None
+        ],
         leaving: leaving_module.LeavingUpstreams,
     ) -> None:
         self._client = client
-        self._tell = tell
+        self._on_report = on_report
         self._leaving = leaving
-        self._since: dict[ids.EngineName, int] = {}
+        self._last_event_numbers: dict[ids.EngineName, int] = {}
         self._incarnations: dict[ids.EngineName, int] = {}
-        self._slots = asyncio.Semaphore(_AT_ONCE)
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
 
     async def read(
         self, engines: collections.abc.Iterable[schema.Engine]
@@ -62,16 +64,16 @@
             load = await engine_client.load(
                 self._client,
                 cancelling.url_of(engine),
-                self._since.get(engine.name, -1),
+                self._last_event_numbers.get(engine.name, -1),
             )
         if isinstance(load, errors.Failure):
             return
         if self._incarnations.get(engine.name) != load.incarnation:
             self._incarnations[engine.name] = load.incarnation
-            self._since[engine.name] = -1
+            self._last_event_numbers[engine.name] = -1
         if load.events:
-            self._since[engine.name] = load.events[-1].number
+            self._last_event_numbers[engine.name] = load.events[-1].number
         self._leaving.record_report(
             engine.name, load.incarnation, load.sequence, load.leaving
         )
-        self._tell(placementevents.EngineReport(engine.name, load))
+        self._on_report(placementevents.EngineReport(engine.name, load))
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -46,7 +46,7 @@
 from galenahatch import trail
 
 _STOP_LOOK: typing.Final = 0.1
-_HANDOVER_INTERVALS: typing.Final = 3
+_HANDOVER_HEARTBEATS: typing.Final = 3
 _log = logs.Log('scheduler')
 
 
@@ -55,27 +55,30 @@
 
     def __init__(self, options: options_module.Options) -> None:
         super().__init__(options)
-        self._senders: dict[ids.MemberId, bus.Peer] = {}
+        self._peer_by_member: dict[ids.MemberId, bus.Peer] = {}
         self._leaving = leaving_module.LeavingUpstreams()
         self._trail = trail.Trail()
-        self._plans: dict[ids.CellId, cells.CellConfig] = {}
-        self._planned = ids.Revision(0)
+        self._cell_configs: dict[ids.CellId, cells.CellConfig] = {}
+        self._cells_revision = ids.Revision(0)
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.SCHEDULER, self._from_scheduler)
+        self.open(states.Role.SCHEDULER, self._handle_scheduler_message)
         self._placement = placement_module.Placement(
-            self.config, options.data_centre, self._trail, self._placed
+            self.config,
+            options.data_centre,
+            self._trail,
+            self._record_placement,
         )
         self._claims = claimwriter.ClaimWriter(self.table, options.claim_group)
         self._canceller = cancelling.Canceller(
             self.engines, self.config.engine, self.tasks
         )
-        self._orphans = orphans_module.Orphans(
-            self.peers, self._canceller, self._forget
+        self._orphans = orphans_module.OrphanCanceller(
+            self.peers, self._canceller, self._remove_entry
         )
-        self._probes = probes_module.Probes(
+        self._load_poller = probes_module.LoadPoller(
             self.engines, self._placement.put, self._leaving
         )
         await self._open_sockets()
@@ -88,10 +91,10 @@
         self.peers.standing = states.Standing.LEAVING
         self.peers.not_ready_reason = 'leaving'
         _log.info('Leaving.', waiting=self._placement.waiting)
-        told = 0
-        while told < _HANDOVER_INTERVALS or self._busy():
-            self._tell_all(self.peers.heartbeat())
-            told += 1
+        heartbeat_count = 0
+        while heartbeat_count < _HANDOVER_HEARTBEATS or self._busy():
+            self._broadcast(self.peers.heartbeat())
+            heartbeat_count += 1
             await asyncio.sleep(self.peers.interval())
         await self.close()
         self._hub.close()
@@ -99,15 +102,15 @@
     async def _open_sockets(self) -> None:
         options = self.options
         endpoint = f'tcp://{options.address}:{options.scheduler_port}'
-        self._hub = bus.Hub(endpoint, messages.CODEC, self._from_peer)
+        self._hub = bus.Hub(endpoint, messages.CODEC, self._handle_message)
         app = web.Application()
         app.add_routes(application.health_routes(self._not_ready_reason))
         await self.listen(app, options.scheduler_http_port, options.keepalive)
 
     def _start_tasks(self) -> None:
-        self.config.on_change(self._replan)
-        self.peers.on_vm_list(self._listed)
-        self.peers.on_heartbeat(self._refresh)
+        self.config.on_change(self._apply_configuration)
+        self.peers.on_vm_list(self._apply_vm_list)
+        self.peers.on_heartbeat(self._refresh_placement)
         self.join()
         keep = self.tasks.keep
         keep('placement', self._placement.run)
@@ -115,11 +118,11 @@
         keep(
             'orphans',
             lambda: tasks.every(
-                lambda: orphans_module.LOOK, self._orphans.look
+                lambda: orphans_module.CHECK_INTERVAL_S, self._orphans.check
             ),
         )
         poll = self.options.load_poll
-        keep('probes', lambda: tasks.every(lambda: poll, self._probe))
+        keep('probes', lambda: tasks.every(lambda: poll, self._poll_loads))
 
     def _busy(self) -> bool:
         return bool(
@@ -135,46 +138,48 @@
             return 'no configuration'
         return ''
 
-    def _tell_all(self, message: messages.AnyMessage) -> None:
+    def _broadcast(self, message: messages.AnyMessage) -> None:
         """Send a message to every daemon that has a link to the hub."""
-        for sender in self._senders.values():
-            self._hub.send(sender, message)
+        for member_peer in self._peer_by_member.values():
+            self._hub.send(member_peer, message)
         self.peers.broadcast(message)
 
     # Messages.
 
-    def _from_scheduler(self, message: messages.AnyMessage) -> None:
+    def _handle_scheduler_message(self, message: messages.AnyMessage) -> None:
         """Take an answer that came over a link to another scheduler."""
         if isinstance(message, messages.AliveReply):
-            self._orphans.answered(message)
+            self._orphans.record_reply(message)
 
-    def _from_peer(self, peer: bus.Peer, message: messages.AnyMessage) -> None:
+    def _handle_message(
+        self, peer: bus.Peer, message: messages.AnyMessage
+    ) -> None:
         """Send a message to the part that it is for."""
 
         def send(answer: messages.AnyMessage) -> None:
             self._hub.send(peer, answer)
 
         if isinstance(message, messages.Heartbeat):
-            self._from_member(peer, message)
+            self._handle_heartbeat(peer, message)
         elif isinstance(message, messages.PlaceRequest | messages.Progress):
             self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.HeldReport):
-            self._orphans.take(message)
+            self._orphans.handle_message(message)
             self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.Release):
-            self._orphans.ended(message.stream)
+            self._orphans.remove_stream(message.stream)
             self._placement.put(placementevents.EntryMessage(message, send))
         elif isinstance(message, messages.Watch | messages.Unwatch):
-            self._orphans.take(message)
+            self._orphans.handle_message(message)
         elif isinstance(
             message,
             messages.ClaimRequest | messages.ClaimVoid | messages.ClaimDone,
         ):
             self._claims.submit(message, send)
         else:
-            self._answer_query(message, send)
+            self._handle_query(message, send)
 
-    def _answer_query(
+    def _handle_query(
         self,
         message: messages.AnyMessage,
         send: typing.Callable[[messages.AnyMessage], None],
@@ -182,9 +187,9 @@
         if isinstance(message, messages.ClaimQuery):
             self._forward_query(message, send)
         elif isinstance(message, messages.ClaimAnswer):
-            sender = self._senders.get(message.requester)
-            if sender is not None:
-                self._hub.send(sender, message)
+            member_peer = self._peer_by_member.get(message.requester)
+            if member_peer is not None:
+                self._hub.send(member_peer, message)
         elif isinstance(message, messages.AliveQuery):
             now = clock.now()
             silence = self.peers.membership.silence_duration(
@@ -203,12 +208,12 @@
             lines = self._trail.of(message.request)
             send(messages.ExplainReply(message.request, lines))
 
-    def _from_member(
+    def _handle_heartbeat(
         self, peer: bus.Peer, heartbeat: messages.Heartbeat
     ) -> None:
-        self._senders[heartbeat.member] = peer
+        self._peer_by_member[heartbeat.member] = peer
         self.peers.record_heartbeat(heartbeat)
-        self._orphans.heard(heartbeat)
+        self._orphans.record_heartbeat(heartbeat)
         self._hub.send(peer, self.peers.heartbeat())
         if heartbeat.revision > self.config.revision:
             request = messages.ConfigRequest(self.config.revision)
@@ -221,81 +226,91 @@
     ) -> None:
         """Pass a query on to the holder of a claim."""
         state = None
-        known = {h.member: h for h in self.peers.membership.heartbeats()}
-        holder = known.get(query.holder)
-        sender = self._senders.get(query.holder)
+        heartbeats = {h.member: h for h in self.peers.membership.heartbeats()}
+        holder = heartbeats.get(query.holder)
+        member_peer = self._peer_by_member.get(query.holder)
         restarted = (
             holder is not None and holder.incarnation != query.incarnation
         )
         if restarted or self.peers.membership.is_delisted(query.holder):
             state = states.HolderState.GONE
-        elif holder is None or sender is None:
+        elif holder is None or member_peer is None:
             state = states.HolderState.SILENT
         if state is not None:
             send(messages.ClaimAnswer(query.token, query.requester, state))
-        elif sender is not None:
-            self._hub.send(sender, query)
+        elif member_peer is not None:
+            self._hub.send(member_peer, query)
 
     def _status(self) -> messages.StatusReply:
         members = self.peers.membership.heartbeats()
         members = [m for m in members if m.member != self.peers.member]
         members.append(self.peers.heartbeat())
         return messages.StatusReply(
-            tuple(members), self._placement.loads(), self._placement.waiting
+            tuple(members),
+            self._placement.engine_loads(),
+            self._placement.waiting,
         )
 
     # News.
 
-    def _listed(self, listed: vms.VmList) -> None:
+    def _apply_vm_list(self, vm_list: vms.VmList) -> None:
         self._leaving.record_vm_list(
-            listed.version,
-            (vm.address for vm in listed.vms if vm.state != 'live'),
+            vm_list.version,
+            (vm.address for vm in vm_list.vms if vm.state != 'live'),
         )
-        self._refresh()
+        self._refresh_placement()
 
-    def _refresh(self) -> None:
+    def _refresh_placement(self) -> None:
         """Tell the placement what is owned and what leaves."""
         self._leaving.record_configuration(
             self.config.revision, self.config.drained_upstreams()
         )
         self.peers.not_ready_reason = self._not_ready_reason()
         self.peers.load = self._placement.waiting
-        leaving = self._leaving.leaving_engines(self._declared())
-        owned = frozenset(self._owned())
-        news = placementevents.Refresh(
-            self._planned, self._plans, owned, leaving
+        leaving = self._leaving.leaving_engines(self._declared_engines())
+        owned = frozenset(self._owned_cells())
+        refresh = placementevents.OwnershipUpdate(
+            self._cells_revision, self._cell_configs, owned, leaving
         )
-        self._placement.put(news)
+        self._placement.put(refresh)
 
-    def _replan(self) -> None:
+    def _apply_configuration(self) -> None:
         """Work out the cells of a new configuration."""
         region = self.config.region_of(self.options.data_centre)
         if region is not None:
-            self._plans = cells.cell_configs(self.config.sites, region)
-            self._planned = self.config.revision
-        self._refresh()
+            self._cell_configs = cells.cell_configs(self.config.sites, region)
+            self._cells_revision = self.config.revision
+        self._refresh_placement()
 
-    def _owned(self) -> list[ids.CellId]:
+    def _owned_cells(self) -> list[ids.CellId]:
         live = set(self.peers.schedulers())
         if self.peers.standing is states.Standing.LIVE:
             live.add(self.peers.member)
         return [
             cell
-            for cell in self._plans
+            for cell in self._cell_configs
             if rendezvous.winner(cell, live) == self.peers.member
         ]
 
-    def _declared(self) -> list[schema.Engine]:
-        return [e for plan in self._plans.values() for e in plan.engines]
+    def _declared_engines(self) -> list[schema.Engine]:
+        return [
+            e
+            for cell_config in self._cell_configs.values()
+            for e in cell_config.engines
+        ]
 
-    async def _probe(self) -> None:
-        owned = set(self._owned())
-        engines = [e for cell in owned for e in self._plans[cell].engines]
-        await self._probes.read(engines)
-        self._refresh()
+    async def _poll_loads(self) -> None:
+        owned = set(self._owned_cells())
+        engines = [
+            e for cell in owned for e in self._cell_configs[cell].engines
+        ]
+        await self._load_poller.read(engines)
+        self._refresh_placement()
 
-    def _placed(self, entry: ids.MemberId, held: messages.Held) -> None:
-        self._orphans.placed(entry, held)
+    def _record_placement(
+        self, entry: ids.MemberId, held: messages.Held
+    ) -> None:
+        self._orphans.record_placement(entry, held)
 
-    def _forget(self, entry: ids.MemberId) -> None:
+    def _remove_entry(self, entry: ids.MemberId) -> None:
         self._placement.put(placementevents.EntryGone(entry))
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Arrived:
+class ReceivedRequest:
     """A request with its body, whose caller and headers are checked."""
 
     request: web.Request
@@ -65,16 +65,16 @@
     def __init__(
         self,
         settings: distribution.Distribution,
-        means: attempt.AttemptContext,
-        claiming: claimclient.ClaimClient,
-        plain: plainservices.PlainServices,
+        context: attempt.AttemptContext,
+        claim_client: claimclient.ClaimClient,
+        plain_services: plainservices.PlainServices,
     ) -> None:
         self._config = settings
-        self._means = means
-        self._claiming = claiming
-        self._plain = plain
+        self._context = context
+        self._claims = claim_client
+        self._plain_services = plain_services
         self.in_flight = 0
-        self.closed = False
+        self.draining = False
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes for callers."""
@@ -82,7 +82,9 @@
             web.post('/v1/completions', self._completion),
             web.post('/v1/chat/completions', self._chat),
             web.get('/v1/models', self._models),
-            web.route('*', '/v1/services/{name}/{tail:.*}', self._service),
+            web.route(
+                '*', '/v1/services/{name}/{tail:.*}', self._plain_service
+            ),
         ]
 
     @web.middleware
@@ -94,71 +96,73 @@
         ],
     ) -> web.StreamResponse:
         """Turn every way a handler can fail into a typed answer."""
-        none = ids.RequestId('')
+        no_id = ids.RequestId('')
         try:
             response = await handler(request)
         except web.HTTPRequestEntityTooLarge:
             failure = errors.Failure(errors.BODY_TOO_LARGE)
-            response = answers.failure_response(failure, none)
+            response = answers.failure_response(failure, no_id)
         except web.HTTPException as error:
             failure = errors.Failure(errors.NO_ROUTE, str(error.status))
-            response = answers.failure_response(failure, none)
+            response = answers.failure_response(failure, no_id)
         except ConnectionError:
             raise
         except Exception as error:  # noqa: H201  (logged, typed answer)
             _log.error('Handler failed.', error=repr(error))
             failure = errors.Failure(errors.INTERNAL)
-            response = answers.failure_response(failure, none)
-        if self.closed and not response.prepared:
+            response = answers.failure_response(failure, no_id)
+        if self.draining and not response.prepared:
             response.force_close()
         return response
 
     async def _completion(self, request: web.Request) -> web.StreamResponse:
-        return await self._counted(request, self._model, False)
+        return await self._handle(request, self._run_model_request, False)
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
-        return await self._counted(request, self._model, True)
+        return await self._handle(request, self._run_model_request, True)
 
     async def _models(self, request: web.Request) -> web.StreamResponse:
         """List the models for a known caller."""
-        none = ids.RequestId('')
+        no_id = ids.RequestId('')
         settings = self._config.own_config()
-        if self.closed or settings is None:
-            return answers.failure_response(self._unavailable(request), none)
+        if self.draining or settings is None:
+            return answers.failure_response(self._unavailable(request), no_id)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.failure_response(caller, none)
-        return answers.build_response(answers.model_list(settings), none)
+            return answers.failure_response(caller, no_id)
+        return answers.build_response(answers.model_list(settings), no_id)
 
-    async def _service(self, request: web.Request) -> web.StreamResponse:
-        return await self._counted(request, self._call, False)
+    async def _plain_service(self, request: web.Request) -> web.StreamResponse:
+        return await self._handle(request, self._call_plain_service, False)
 
-    async def _counted(
+    async def _handle(
         self,
         request: web.Request,
         handler: typing.Callable[
-            [Arrived, bool], typing.Awaitable[web.StreamResponse]
+            [ReceivedRequest, bool], typing.Awaitable[web.StreamResponse]
         ],
         chat: bool,
     ) -> web.StreamResponse:
         """Admit a request and count it while it is in flight."""
-        none = ids.RequestId('')
+        no_id = ids.RequestId('')
         settings = self._config.own_config()
-        if self.closed or settings is None:
-            return answers.failure_response(self._unavailable(request), none)
+        if self.draining or settings is None:
+            return answers.failure_response(self._unavailable(request), no_id)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.failure_response(caller, none)
+            return answers.failure_response(caller, no_id)
         headers = inbound.read_headers(request.headers)
         if isinstance(headers, errors.Failure):
-            return answers.failure_response(headers, none)
+            return answers.failure_response(headers, no_id)
         self.in_flight += 1
         try:
             body = await _read_body(request)
             if isinstance(body, errors.Failure):
                 return answers.failure_response(body, headers.request)
-            arrived = Arrived(request, body, settings, caller, headers)
-            return await handler(arrived, chat)
+            received = ReceivedRequest(
+                request, body, settings, caller, headers
+            )
+            return await handler(received, chat)
         finally:
             self.in_flight -= 1
 
@@ -168,124 +172,145 @@
         Whether an earlier arrival of a key ran is not looked up, so a
         request that may run only once is not told that it was not run.
         """
-        reason = errors.LEAVING if self.closed else errors.NO_CONFIGURATION
+        reason = errors.LEAVING if self.draining else errors.NO_CONFIGURATION
         if inbound.IDEMPOTENCY_KEY in request.headers:
             detail = f'{reason.name}: {reason.message}'
             return errors.Failure(errors.CLAIM_UNREAD, detail, 1.0)
         return errors.Failure(reason)
 
-    async def _call(self, arrived: Arrived, chat: bool) -> web.StreamResponse:
+    async def _call_plain_service(
+        self, received: ReceivedRequest, chat: bool
+    ) -> web.StreamResponse:
         """Route a call to a plain service."""
-        return await self._plain.serve(
-            arrived.request,
-            arrived.body,
-            arrived.settings,
-            arrived.caller,
-            arrived.headers,
+        return await self._plain_services.serve(
+            received.request,
+            received.body,
+            received.settings,
+            received.caller,
+            received.headers,
         )
 
-    async def _model(self, arrived: Arrived, chat: bool) -> web.StreamResponse:
+    async def _run_model_request(
+        self, received: ReceivedRequest, chat: bool
+    ) -> web.StreamResponse:
         """Run a request for a model service."""
-        request = arrived.request
-        headers = arrived.headers
-        asked = inbound.read_model_request(
-            arrived.body, headers, arrived.caller, arrived.settings, chat
+        request = received.request
+        headers = received.headers
+        model_request = inbound.read_model_request(
+            received.body, headers, received.caller, received.settings, chat
         )
-        if isinstance(asked, errors.Failure):
-            return self._refuse(asked, headers.request)
+        if isinstance(model_request, errors.Failure):
+            return self._failure_response(model_request, headers.request)
         if not headers.non_idempotent:
-            return await self._run(request, asked, None)
-        key = claim.claim_key(arrived.caller.name, headers.key)
-        print_of_body = claim.request_fingerprint(request.path, arrived.body)
-        claimed = await self._claiming.acquire(key, print_of_body)
+            return await self._run(request, model_request, None)
+        key = claim.claim_key(received.caller.name, headers.key)
+        fingerprint = claim.request_fingerprint(request.path, received.body)
+        claimed = await self._claims.acquire(key, fingerprint)
         if isinstance(claimed, errors.Failure):
-            return self._refuse(claimed, headers.request)
+            return self._failure_response(claimed, headers.request)
         if isinstance(claimed, claim.Answer):
             _log.info('Answer repeated.', request=headers.request, key=key)
-            return await _replay(request, asked, claimed)
-        return await self._run(request, asked, claimed)
+            return await _replay(request, model_request, claimed)
+        return await self._run(request, model_request, claimed)
 
-    def _refuse(
+    def _failure_response(
         self, failure: errors.Failure, request: ids.RequestId
     ) -> web.StreamResponse:
-        _log_end(request, failure)
+        _record_end(request, failure)
         return answers.failure_response(failure, request)
 
     async def _run(
         self,
         request: web.Request,
-        asked: inbound.ModelRequest,
+        model_request: inbound.ModelRequest,
         claimed: claimclient.Claimed | None,
     ) -> web.StreamResponse:
         """Run a course within its deadline, settle its claim, answer."""
-        stream = answers.StreamSink(request, asked) if asked.stream else None
+        stream = (
+            answers.StreamSink(request, model_request)
+            if model_request.stream
+            else None
+        )
 
-        def may_send() -> bool:
-            return claimed is None or self._claiming.try_dispatch(claimed)
+        def try_dispatch() -> bool:
+            return claimed is None or self._claims.try_dispatch(claimed)
 
-        course = execution.RequestExecution(
-            self._means, asked, stream or answers.DiscardingSink(), may_send
+        request_run = execution.RequestExecution(
+            self._context,
+            model_request,
+            stream or answers.DiscardingSink(),
+            try_dispatch,
         )
         try:
-            failure = await self._within_deadline(course, asked)
+            failure = await self._run_within_deadline(
+                request_run, model_request
+            )
         except asyncio.CancelledError:
             failure = errors.Failure(errors.CALLER_GONE)
-            self._settle(course, asked, claimed, failure)
-            _log_end(asked.headers.request, failure)
+            self._settle_claim(request_run, model_request, claimed, failure)
+            _record_end(model_request.headers.request, failure)
             raise
-        self._settle(course, asked, claimed, failure)
-        _log_end(asked.headers.request, failure)
-        return await self._reply(course, asked, stream, failure)
+        self._settle_claim(request_run, model_request, claimed, failure)
+        _record_end(model_request.headers.request, failure)
+        return await self._reply(request_run, model_request, stream, failure)
 
-    async def _within_deadline(
-        self, course: execution.RequestExecution, asked: inbound.ModelRequest
+    async def _run_within_deadline(
+        self,
+        request_run: execution.RequestExecution,
+        model_request: inbound.ModelRequest,
     ) -> errors.Failure | None:
         try:
-            async with asyncio.timeout(asked.deadline):
-                return await course.run()
+            async with asyncio.timeout(model_request.deadline):
+                return await request_run.run()
         except asyncio.TimeoutError:
-            if course.maybe_started:
+            if request_run.maybe_started:
                 return errors.Failure(errors.DEADLINE)
             return errors.Failure(errors.NO_TIME, retry_after=1.0)
 
-    def _settle(
+    def _settle_claim(
         self,
-        course: execution.RequestExecution,
-        asked: inbound.ModelRequest,
+        request_run: execution.RequestExecution,
+        model_request: inbound.ModelRequest,
         claimed: claimclient.Claimed | None,
         failure: errors.Failure | None,
     ) -> None:
         """Store what a claimed request came to, or remove its claim."""
         if claimed is None:
             return
-        request = asked.headers.request
+        request = model_request.headers.request
         if failure is None:
             answer = answers.completion(
-                asked, course.text, course.finish, course.tokens
+                model_request,
+                request_run.text,
+                request_run.finish_reason,
+                request_run.token_count,
             )
-            self._claiming.finish(claimed, answer)
-        elif course.maybe_started:
+            self._claims.finish(claimed, answer)
+        elif request_run.maybe_started:
             answer = answers.failure_answer(failure, request)
-            self._claiming.finish(claimed, answer)
+            self._claims.finish(claimed, answer)
         else:
-            self._claiming.abandon(claimed, not_started=True)
+            self._claims.abandon(claimed, not_started=True)
 
     async def _reply(
         self,
-        course: execution.RequestExecution,
-        asked: inbound.ModelRequest,
+        request_run: execution.RequestExecution,
+        model_request: inbound.ModelRequest,
         stream: answers.StreamSink | None,
         failure: errors.Failure | None,
     ) -> web.StreamResponse:
-        request = asked.headers.request
+        request = model_request.headers.request
         if failure is not None:
             if stream is not None and stream.response is not None:
                 return await stream.fail(failure)
             return answers.failure_response(failure, request)
         if stream is not None:
-            return await stream.end(course.finish)
+            return await stream.end(request_run.finish_reason)
         answer = answers.completion(
-            asked, course.text, course.finish, course.tokens
+            model_request,
+            request_run.text,
+            request_run.finish_reason,
+            request_run.token_count,
         )
         return answers.build_response(answer, request)
 
@@ -299,18 +324,26 @@
 
 
 async def _replay(
-    request: web.Request, asked: inbound.ModelRequest, answer: claim.Answer
+    request: web.Request,
+    model_request: inbound.ModelRequest,
+    answer: claim.Answer,
 ) -> web.StreamResponse:
     """Give a stored answer again in the form that was asked for."""
-    stored = answers.decode_stored_completion(answer) if asked.stream else None
+    stored = (
+        answers.decode_stored_completion(answer)
+        if model_request.stream
+        else None
+    )
     if stored is None:
-        return answers.build_response(answer, asked.headers.request)
-    stream = answers.StreamSink(request, asked)
+        return answers.build_response(answer, model_request.headers.request)
+    stream = answers.StreamSink(request, model_request)
     await stream.send_text(stored.text)
     return await stream.end(stored.finish)
 
 
-def _log_end(request: ids.RequestId, failure: errors.Failure | None) -> None:
+def _record_end(
+    request: ids.RequestId, failure: errors.Failure | None
+) -> None:
     reason = failure.reason.name if failure else 'whole'
     outcome = failure.outcome if failure else errors.Outcome.ANSWERED
     metrics.requests.add(1, {'outcome': outcome.value, 'reason': reason})
--- a/galenahatch/test/test_orphans.py
+++ b/galenahatch/test/test_orphans.py
@@ -60,9 +60,9 @@
         self.streams.append(stream)
 
 
-def _watching(silent_for: float) -> tuple[orphans.Orphans, _Canceller]:
+def _watching(silent_for: float) -> tuple[orphans.OrphanCanceller, _Canceller]:
     canceller = _Canceller()
-    guard = orphans.Orphans(
+    guard = orphans.OrphanCanceller(
         typing.cast(peers.Peers, _Peers(silent_for)),
         typing.cast(cancelling.Canceller, canceller),
         lambda entry: None,
@@ -77,14 +77,14 @@
         10,
         10,
     )
-    guard.placed(_ENTRY, held)
+    guard.record_placement(_ENTRY, held)
     return guard, canceller
 
 
 def test_a_second_member_confirms() -> None:
     """A second scheduler that has not heard the entry either confirms."""
     guard, canceller = _watching(silent_for=3.0)
-    guard.answered(messages.AliveReply(_ENTRY, 3.0))
+    guard.record_reply(messages.AliveReply(_ENTRY, 3.0))
     assert canceller.streams == ['r.1']
 
 
@@ -95,21 +95,21 @@
     was merely slow were cancelled.
     """
     guard, canceller = _watching(silent_for=3.0)
-    guard.answered(messages.AliveReply(_ENTRY, -1.0))
+    guard.record_reply(messages.AliveReply(_ENTRY, -1.0))
     assert canceller.streams == []
 
 
 def test_a_member_that_hears_it_keeps_it() -> None:
     """As long as one scheduler hears the entry, its streams stay."""
     guard, canceller = _watching(silent_for=20.0)
-    guard.answered(messages.AliveReply(_ENTRY, 0.5))
-    guard.look_now(clock.now())
+    guard.record_reply(messages.AliveReply(_ENTRY, 0.5))
+    guard.check_at(clock.now())
     assert canceller.streams == []
 
 
 def test_long_silence_is_enough() -> None:
     """An entry that nobody can tell about is gone after long silence."""
     guard, canceller = _watching(silent_for=20.0)
-    guard.answered(messages.AliveReply(_ENTRY, -1.0))
-    guard.look_now(clock.now())
+    guard.record_reply(messages.AliveReply(_ENTRY, -1.0))
+    guard.check_at(clock.now())
     assert canceller.streams == ['r.1']
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -104,7 +104,7 @@
     owner.put(placementevents.EntryMessage(_request(1), answers.append))
     await asyncio.sleep(0.01)
     plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
-    refresh = placementevents.Refresh(
+    refresh = placementevents.OwnershipUpdate(
         ids.Revision(1), plans, frozenset(plans), frozenset()
     )
     owner.put(refresh)
@@ -134,7 +134,7 @@
     )
     plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
     owner.put(
-        placementevents.Refresh(
+        placementevents.OwnershipUpdate(
             ids.Revision(1), plans, frozenset(plans), frozenset()
         )
     )
