--- a/galenahatch/answers.py
+++ b/galenahatch/answers.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Answers to callers: OpenAI-compatible JSON and server-sent events."""
+"""Responses to callers: OpenAI-compatible JSON and server-sent events."""
 
 import math
 import typing
@@ -29,25 +29,25 @@
 
 
 class Sink(typing.Protocol):
-    """Where an answer's tokens go while it is generated."""
+    """Receiver of a response's text while it is generated."""
 
     async def send_text(self, text: str) -> None:
-        """Pass on some text."""
+        """Send generated text to the caller."""
 
 
 class DiscardingSink:
-    """Keeps nothing: the answer is sent whole at the end."""
+    """Discards text; used when the response is sent whole at the end."""
 
     async def send_text(self, text: str) -> None:
-        """Ignore the text."""
+        """Discard the text."""
 
 
 class StreamSink:
-    """Sends text as server-sent events as it comes.
+    """Sends text as server-sent events while it is generated.
 
     Args:
-        request: the caller's.
-        asked: the checked request.
+        request: HTTP request of the caller.
+        model_request: validated model request.
     """
 
     def __init__(
@@ -59,20 +59,20 @@
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """The response, once its headers are sent."""
+        """HTTP response; None before its headers are sent."""
         return self._response
 
     async def send_text(self, text: str) -> None:
-        """Send a chunk of text."""
+        """Send a chunk of generated text."""
         await self._write(_chunk(self._model_request, text, None))
 
     async def end(self, finish: str) -> web.StreamResponse:
-        """Send the end of a whole answer."""
+        """Send the finish reason and close a complete stream."""
         await self._write(_chunk(self._model_request, '', finish))
         return await self._close(b'data: [DONE]\n\n')
 
     async def fail(self, failure: errors.Failure) -> web.StreamResponse:
-        """Send a failure in place of the end; no [DONE] follows."""
+        """Send an error as the last event; no [DONE] follows."""
         body = error_body(failure, self._model_request.headers.request)
         return await self._close(b'data: ' + body + b'\n\n')
 
@@ -128,7 +128,7 @@
 def completion(
     model_request: inbound.ModelRequest, text: str, finish: str, tokens: int
 ) -> claim.Answer:
-    """Return a whole answer that is not streamed."""
+    """Return the body of a complete response that is not streamed."""
     choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': finish}
     if model_request.chat:
         choice['message'] = {'role': 'assistant', 'content': text}
@@ -153,7 +153,7 @@
 
 
 def model_list(settings: schema.Config) -> claim.Answer:
-    """Return the list of models that are configured."""
+    """Return the list of configured models."""
     listed = [
         {
             'id': service.name,
@@ -172,7 +172,7 @@
 def failure_answer(
     failure: errors.Failure, request: ids.RequestId
 ) -> claim.Answer:
-    """Return a failure as an answer, to be kept with a claim."""
+    """Return a failure in the form in which a claim stores it."""
     return claim.Answer(
         failure.reason.status,
         failure.outcome.value,
@@ -185,7 +185,7 @@
     """Return the JSON body of a failure."""
     error: dict[str, typing.Any] = {
         'type': failure.reason.name,
-        # What OpenAI's client shows its user, and what programs compare.
+        # OpenAI clients show this text, and programs compare it.
         'message': f'{failure.reason.message} {failure.detail}'.rstrip(),
         'code': failure.reason.name,
         'reason': failure.reason.message,
@@ -203,7 +203,7 @@
     request: ids.RequestId,
     retry_after: float | None = None,
 ) -> web.Response:
-    """Return the HTTP response of an answer."""
+    """Return the HTTP response for an answer."""
     response = web.Response(status=answer.status, body=answer.body)
     response.headers['Content-Type'] = answer.content_type
     response.headers[inbound.OUTCOME] = answer.outcome
@@ -217,7 +217,7 @@
 def failure_response(
     failure: errors.Failure, request: ids.RequestId
 ) -> web.Response:
-    """Return the HTTP response of a failure."""
+    """Return the HTTP response for a failure."""
     answer = failure_answer(failure, request)
     retry_after = failure.retry_after
     if retry_after is None and failure.reason.status in (409, 429, 503):
@@ -229,7 +229,7 @@
 
 
 class StoredCompletion(msgspec.Struct, frozen=True):
-    """Text and finish reason of a stored answer."""
+    """Text and finish reason of a stored completion."""
 
     text: str
     finish: str
@@ -250,7 +250,7 @@
 
 
 def decode_stored_completion(answer: claim.Answer) -> StoredCompletion | None:
-    """Return the text of a stored whole answer; None for a failure."""
+    """Decode a stored completion; return None for a stored failure."""
     if answer.outcome != errors.Outcome.ANSWERED.value:
         return None
     body = msgspec.json.decode(answer.body, type=_StoredBody)
--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""One attempt of a request on a pair of engines.
+"""One attempt to run a request on a prefill and a decode engine.
 
-It prefills, waits for a place until the result is evicted, decodes, passes
-tokens on, resumes a stream that was cut, and frees what it holds when it
-does not end by itself.
+An attempt prefills the prompt, retries decode until the prefill result is
+evicted, relays tokens, resumes interrupted streams, and releases engine
+resources when it fails or is cancelled.
 """
 
 import asyncio
@@ -51,19 +51,20 @@
 
 @dataclasses.dataclass
 class AttemptContext:
-    """What courses work with.
+    """Dependencies that all attempts of an entry share.
 
     Attributes:
-        member: this entry.
-        data_centre: of this entry.
-        site: of this entry.
-        revision: of the configuration in force.
-        placing: finds engines.
-        canceller: frees engines.
-        find: finds a declared engine.
-        repeatable: session for work that may be sent again.
-        once: session for work that may not.
-        budget: retries left for a service.
+        member: id of this entry.
+        data_centre: data centre of this entry.
+        placement: client that requests engines from schedulers.
+        canceller: cancels streams on engines.
+        find_engine: looks up a configured engine by name.
+        idempotent_session: HTTP session for work that may be sent again.
+        non_idempotent_session: HTTP session for work that may be sent
+            only once.
+        retry_budget_of: returns the retry budget of a service.
+        current_site: returns the site of this entry.
+        current_revision: returns the active configuration's revision.
     """
 
     member: ids.MemberId
@@ -82,26 +83,26 @@
 
 @dataclasses.dataclass(frozen=True)
 class EnginePair:
-    """The pair of engines that an attempt runs on."""
+    """Prefill and decode engine of an attempt."""
 
     prefill: schema.Engine
     decode: schema.Engine
 
 
 class Attempt:
-    """One attempt.
+    """Runs a request once on a pair of engines.
 
     Args:
-        means: shared by all attempts.
-        asked: the checked request.
-        sink: where tokens go.
-        answer: the answer so far, of earlier attempts too.
+        context: dependencies shared by all attempts.
+        model_request: validated model request.
+        sink: receiver of generated text.
+        answer: assembled tokens, including those of earlier attempts.
         stream: id of the attempt.
-        engines: that it runs on.
-        arrived_at: when the request came.
+        engines: engines that run the attempt.
+        arrived_at: monotonic time of the request's arrival, in seconds.
 
     Attributes:
-        started: whether an engine may have begun the work.
+        maybe_started: whether an engine may have started the work.
     """
 
     def __init__(
@@ -128,7 +129,7 @@
             if once
             else context.idempotent_session
         )
-        # Engines that may hold memory of the attempt.
+        # Engines that may hold memory for the attempt.
         self._engines_in_use: set[ids.EngineName] = set()
         self._failed_engine: ids.EngineName | None = None
         self._started_at = 0.0
@@ -139,11 +140,11 @@
 
     @property
     def failed_engine(self) -> ids.EngineName | None:
-        """The engine at fault, if one was."""
+        """Engine that caused the failure; None if no engine did."""
         return self._failed_engine
 
     async def run(self) -> errors.Failure | None:
-        """Run to the end; None when the answer is whole."""
+        """Run the attempt; return None when the response is complete."""
         failure = await self._prefill()
         if failure is not None:
             return failure
@@ -184,7 +185,7 @@
     async def _decode(
         self,
     ) -> engine_client.Stream | errors.Failure:
-        """Begin to decode; wait for a place until the result is evicted."""
+        """Start decoding; retry refusals until the prefill is evicted."""
         call = engine_client.DecodeCall(
             stream=self._stream,
             source=cancelling.url_of(self._prefill_engine),
@@ -209,7 +210,7 @@
         self,
         stream: engine_client.Stream | errors.Failure,
     ) -> errors.Failure | None:
-        """Pass tokens on until the end marker, resuming when cut."""
+        """Relay tokens until the end marker; resume interrupted streams."""
         self._assembler.expect_stream(self._stream)
         self._first_offset = self._assembler.offset
         resumes = 0
@@ -240,7 +241,7 @@
                 self._stream,
                 self._assembler.offset,
             )
-            # No connection for a resume tells nothing about the stream.
+            # A failed connection says nothing about the stream's state.
             if _is_unreachable(resumed):
                 resumed = failure
             stream = resumed
@@ -248,7 +249,7 @@
     async def _relay_tokens(
         self, stream: engine_client.Stream
     ) -> errors.Failure | None:
-        """Pass on one connection's tokens; None at the end marker."""
+        """Relay tokens of one connection; return None at the end marker."""
         while True:
             events = await stream.read()
             if isinstance(events, errors.Failure):
@@ -270,7 +271,7 @@
                 return errors.Failure(errors.STREAM_BROKEN, 'gap')
 
     def _assemble(self, events: list[engine_client.Event]) -> assembly.Verdict:
-        """Take events; return the first verdict that ends a reading."""
+        """Assemble events; return the first verdict that stops reading."""
         for event in events:
             if event.finish:
                 verdict = self._assembler.add_end(
@@ -302,14 +303,14 @@
         if not self._first_offset:
             metrics.first_token.record(self._first_token_at - self._arrived_at)
 
-    # The end of an attempt.
+    # End of an attempt.
 
     def _record_engine_failure(
         self,
         engine: schema.Engine,
         failure: errors.Failure,
     ) -> errors.Failure:
-        """Note which engine failed."""
+        """Record and log the engine that failed."""
         self._failed_engine = engine.name
         _log.warning(
             'Attempt failed.',
@@ -321,6 +322,7 @@
         return failure
 
     def report_end(self, failure: errors.Failure | None) -> None:
+        """Release the reservation, or the engines after a failure."""
         if failure is not None:
             self.release_engines(failure.reason.name)
             return
@@ -339,7 +341,7 @@
         )
 
     def release_engines(self, cause: str) -> None:
-        """Free what an attempt holds at engines, then its reservation."""
+        """Cancel the attempt on its engines, then release its reservation."""
         if self._prefilled_tokens and not self._first_token_at:
             metrics.prefill_wasted.add(self._prefilled_tokens)
         release = messages.Release(
--- a/galenahatch/bus.py
+++ b/galenahatch/bus.py
@@ -10,16 +10,16 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Sockets between the project's own processes.
+"""ZeroMQ sockets between the daemons.
 
-A scheduler binds one ROUTER socket. Every other daemon and every other
-scheduler connects one DEALER socket to it. A `Link` owns a DEALER, a `Hub`
-a ROUTER. Neither ever blocks its caller: a full send queue drops the
-message, since each protocol above repeats what matters. Frames that do not
-decode are counted and dropped.
+A scheduler binds one ROUTER socket, owned by a `Hub`. Every other daemon and
+every other scheduler connects one DEALER socket to it, owned by a `Link`.
+Sends never block: a full send queue drops the message, since the protocols
+above resend what they need. Frames that do not decode are counted and
+dropped.
 
-The sockets are read by callback, many frames at a time: one await for each
-frame costs several times as much as the frame itself.
+Callbacks read many frames at a time: awaiting each frame costs several times
+as much as processing it.
 """
 
 import asyncio
@@ -40,10 +40,10 @@
 _LINGER_MS: typing.Final = 200
 _PING_INTERVAL_MS: typing.Final = 500
 _PING_TIMEOUT_MS: typing.Final = 1000
-"""A connection that has gone silent without a reset is replaced after so
-long; nothing else shows that it is dead. Gateways beat every 250 ms and take
-a member for away after 800. Without it they asked different owners for up to
-ten seconds after their connections had gone silent."""
+"""Replaces a connection that went silent without a reset, which nothing else
+detects. Gateways send heartbeats every 250 ms and consider a member gone
+after 800 ms; without this timeout they asked different owners for up to ten
+seconds after their connections had gone silent."""
 _FRAMES_PER_DROP_LOG: typing.Final = 100
 _MAX_MESSAGES_PER_READ: typing.Final = 64
 _log = logs.Log('bus')
@@ -57,21 +57,21 @@
 
 @dataclasses.dataclass(frozen=True)
 class Codec(typing.Generic[M]):
-    """How the messages of one protocol become frames, and back."""
+    """Encoder and decoder for the messages of one protocol."""
 
     encode: collections.abc.Callable[[M], bytes]
     decode: collections.abc.Callable[[bytes], M | errors.Failure]
 
 
 class _SocketReader:
-    """Reads a socket whenever it has frames, and sends without blocking.
+    """Reads a socket when it has messages, and sends without blocking.
 
-    The descriptor of a ZeroMQ socket only tells that its state may have
-    changed, so the state is looked at after each send too.
+    The file descriptor of a ZeroMQ socket signals only that the socket's state
+    may have changed, so each send schedules a read too.
 
     Args:
-        socket: ready to use; owned from now on.
-        take: called with the parts of each message.
+        socket: configured socket; this object closes it.
+        handler: callback for the parts of each message.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._schedule()
 
     def send(self, parts: _Frames) -> None:
-        """Queue a message; dropped when the queue is full."""
+        """Queue a message; drop it when the queue is full."""
         try:
             self._socket.send_multipart(parts, zmq.NOBLOCK)
         except zmq.ZMQError:
@@ -107,7 +107,7 @@
             self._loop.call_soon(self._read_messages)
 
     def _read_messages(self) -> None:
-        """Take frames and note the time that it took."""
+        """Read a batch of messages and record the time it took."""
         self._scheduled = False
         started_at = clock.now()
         count = self._read_batch()
@@ -117,7 +117,7 @@
             self._schedule()
 
     def _read_batch(self) -> int:
-        """Take frames until there are none, some at most; return how many."""
+        """Read messages up to the batch limit; return how many were read."""
         for count in range(_MAX_MESSAGES_PER_READ):
             if self._closed:
                 return count
@@ -130,14 +130,14 @@
 
 
 class _FrameDecoder(typing.Generic[M]):
-    """Decodes frames and hands messages on."""
+    """Decodes frames; counts and logs those that are malformed."""
 
     def __init__(self, codec: Codec[M]) -> None:
         self._codec = codec
         self._dropped_count = 0
 
     def decode(self, frame: bytes) -> M | None:
-        """Return the message of a frame; None if it was dropped."""
+        """Return the message in a frame; None if the frame was dropped."""
         message = self._codec.decode(frame)
         if isinstance(message, errors.Failure):
             self.count_dropped(message)
@@ -145,7 +145,7 @@
         return message
 
     def count_dropped(self, failure: errors.Failure) -> None:
-        """Count a dropped frame and log now and then."""
+        """Count a dropped frame; log only some of them."""
         metrics.frames_dropped.add(1, {'reason': failure.reason.name})
         if self._dropped_count % _FRAMES_PER_DROP_LOG == 0:
             _log.warning('Frame dropped.', detail=failure.detail)
@@ -155,7 +155,7 @@
 def _create_socket(
     context: zmq.Context[zmq.Socket[bytes]], kind: int
 ) -> zmq.Socket[bytes]:
-    """Return a socket with bounded queues and frames."""
+    """Create a socket with bounded queues, frame sizes and ping timeouts."""
     socket = context.socket(kind)
     socket.setsockopt(zmq.LINGER, _LINGER_MS)
     socket.setsockopt(zmq.SNDHWM, _QUEUE_FRAMES)
@@ -167,17 +167,17 @@
 
 
 def context() -> zmq.Context[zmq.Socket[bytes]]:
-    """Return the context that all sockets of this process share."""
+    """Return the ZeroMQ context shared by all sockets of this process."""
     return zmq.Context.instance()
 
 
 class Link(typing.Generic[M]):
-    """One connection to a process that binds a hub.
+    """DEALER socket connected to another daemon's hub.
 
     Args:
-        endpoint: `tcp://ip:port`.
-        codec: of the messages.
-        handler: called with each message from there.
+        endpoint: `tcp://ip:port` of the hub.
+        codec: encoder and decoder of the messages.
+        handler: callback for each received message.
     """
 
     def __init__(
@@ -196,7 +196,7 @@
         self._reader = _SocketReader(socket, self._receive)
 
     def send(self, message: M) -> None:
-        """Queue a message; dropped when the peer is long away."""
+        """Queue a message; drop it when the queue is full."""
         frame = self._codec.encode(message)
         metrics.control_bytes.add(len(frame))
         self._reader.send([frame])
@@ -212,12 +212,12 @@
 
 
 class Hub(typing.Generic[M]):
-    """The bound socket of a process that others connect to.
+    """ROUTER socket that other daemons connect to.
 
     Args:
-        endpoint: `tcp://ip:port`.
-        codec: of the messages.
-        handler: called with each message and its sender.
+        endpoint: `tcp://ip:port` to bind.
+        codec: encoder and decoder of the messages.
+        handler: callback for each message and its sender.
     """
 
     def __init__(
@@ -234,7 +234,7 @@
         self._reader = _SocketReader(socket, self._receive)
 
     def send(self, peer: Peer, message: M) -> None:
-        """Queue an answer; dropped when the peer is away."""
+        """Queue a message for a peer; drop it if the peer is disconnected."""
         frame = self._codec.encode(message)
         metrics.control_bytes.add(len(frame))
         self._reader.send([peer, frame])
@@ -260,7 +260,7 @@
 def _call_handler(
     handler: collections.abc.Callable[[M], None], message: M
 ) -> None:
-    """Call a handler; its failure must not end the reading."""
+    """Call a handler; log its exceptions so that reading continues."""
     try:
         handler(message)
     except Exception as error:  # noqa: H201  (logged, reading goes on)
--- a/galenahatch/cancelling.py
+++ b/galenahatch/cancelling.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Cancels that are tried until the engine confirms.
+"""Cancellation of streams, retried until the engine confirms.
 
-Closing a socket frees nothing at an engine, so each stream that did not
-end by itself is cancelled by id, again and again, until the engine says
-that it has no such stream, or the engine's process is gone. Work that
-was on its way to the engine may arrive after the cancel, so the cancel is
-sent once more a little later.
+Closing a connection frees nothing on an engine, so each stream that did not
+end normally is cancelled by id. The cancellation is retried with backoff
+until the engine confirms that it has no such stream, or its process is gone.
+Work in transit may reach the engine after the cancellation, so a second one
+follows after a delay.
 """
 
 import asyncio
@@ -42,12 +42,12 @@
 
 
 class Canceller:
-    """Streams that are being cancelled.
+    """Cancels streams in the background.
 
     Args:
-        client: session for engines.
-        find: finds a declared engine.
-        owner: runs the tasks.
+        client: HTTP session for engines.
+        find_engine: looks up a configured engine by name.
+        task_group: runs the background tasks.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
 
     @property
     def pending_count(self) -> int:
-        """Streams whose cancel is not confirmed yet."""
+        """Number of streams whose cancellation is not confirmed yet."""
         return len(self._pending)
 
     def cancel(
@@ -76,10 +76,10 @@
         """Cancel a stream on some engines.
 
         Args:
-            stream: whose memory to free.
-            engines: where it may be held.
-            cause: for the log.
-            then: called when all engines confirmed.
+            stream: id of the stream to cancel.
+            engines: engines that may hold memory for the stream.
+            cause: reason shown in the log and in metrics.
+            on_confirmed: callback after all engines confirmed.
         """
         if stream in self._pending:
             return
--- a/galenahatch/claimwriter.py
+++ b/galenahatch/claimwriter.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The task that writes claims to the table, in groups.
+"""Task that writes claims to the table in groups.
 
 Claims of many entries are collected for a few tens of milliseconds and
-committed in one transaction, so the writes a second stay bounded however
-many daemons there are. A conflict concerns single keys: they are answered
-from the values that stand, and the rest is committed again. After a lost
-answer the keys are read back.
+committed in one transaction, so the write rate stays bounded for any number
+of daemons. A conflict names the keys that caused it: their operations are
+answered from the stored values, and the rest is committed again. When the
+outcome of a commit is unknown, the keys are read back.
 """
 
 import asyncio
@@ -43,18 +43,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class PendingOperation:
-    """One operation on a key, and how to answer it."""
+    """An operation on a key and the callback that sends its reply."""
 
     operation: claimwrites.Operation
     send: Send
 
 
 class ClaimWriter:
-    """Inbox and groups.
+    """Queue of operations and the groups being committed.
 
     Args:
-        store: the table.
-        group_seconds: time for which operations are collected.
+        store: client of the table.
+        group_seconds: seconds for which operations are collected.
     """
 
     def __init__(self, store: table.Table, group_seconds: float) -> None:
@@ -67,11 +67,11 @@
 
     @property
     def unanswered_count(self) -> int:
-        """Operations that are not answered yet."""
+        """Number of operations that are not answered yet."""
         return self._unanswered_count
 
     def submit(self, operation: claimwrites.Operation, send: Send) -> None:
-        """Put an operation into the inbox."""
+        """Queue an operation."""
         self._unanswered_count += 1
         self._queue.put_nowait(PendingOperation(operation, send))
 
@@ -96,7 +96,7 @@
     def _split_by_key(
         self, group: list[PendingOperation]
     ) -> dict[ids.ClaimKey, PendingOperation]:
-        """Return the first operation of each key; later ones wait."""
+        """Return the first operation of each key; requeue later ones."""
         first_by_key: dict[ids.ClaimKey, PendingOperation] = {}
         for pending_operation in group:
             if pending_operation.operation.key in first_by_key:
@@ -157,7 +157,7 @@
     async def _read_back(
         self, pending: dict[ids.ClaimKey, PendingOperation]
     ) -> None:
-        """Answer from what the table holds, if it can be read."""
+        """Answer from the stored values if the table can be read."""
         names = [claimwrites.table_key(key) for key in pending]
         values = await self._table.read(names)
         for key, pending_operation in pending.items():
--- a/galenahatch/placementevents.py
+++ b/galenahatch/placementevents.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What the task that owns cells is told."""
+"""Events for the task that owns a scheduler's cells."""
 
 import collections.abc
 import dataclasses
@@ -23,10 +23,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryMessage:
-    """A message of an entry.
+    """A message from an entry.
 
     Attributes:
-        send: answers the entry.
+        send: callback that sends a reply to the entry.
     """
 
     message: messages.AnyMessage
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineReport:
-    """A load report of an engine."""
+    """A load report from an engine."""
 
     engine: ids.EngineName
     load: engine_client.Load
@@ -43,14 +43,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class EntryGone:
-    """An entry is taken for gone and its streams are cancelled."""
+    """An entry is considered gone and its streams are being cancelled."""
 
     entry: ids.MemberId
 
 
 @dataclasses.dataclass(frozen=True)
 class OwnershipUpdate:
-    """Configuration, owners or leaving engines may have changed."""
+    """The configuration, cell owners or leaving engines may have changed."""
 
     revision: ids.Revision
     cell_configs: collections.abc.Mapping[ids.CellId, cells_module.CellConfig]
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The task that reads the load of the engines that this scheduler owns."""
+"""Task that polls the load of the engines that this scheduler owns."""
 
 import asyncio
 import collections.abc
@@ -30,12 +30,12 @@
 
 
 class LoadPoller:
-    """Load reports and cache events.
+    """Polls load reports and cache events.
 
     Args:
-        client: session for engines.
-        tell: takes each report.
-        leaving: learns which engines say that they leave.
+        client: HTTP session for engines.
+        on_report: callback for each report.
+        leaving: record of the engines that report that they are leaving.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
     async def read(
         self, engines: collections.abc.Iterable[schema.Engine]
     ) -> None:
-        """Read the load of some engines at once."""
+        """Read the load of engines concurrently."""
         await asyncio.gather(*(self._read_one(e) for e in engines))
 
     async def _read_one(self, engine: schema.Engine) -> None:
