--- a/galenahatch/claimclient.py
+++ b/galenahatch/claimclient.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Claiming keys: an entry's side of the talk with the claim writers.
+"""Client of the claim writers, used by entries to claim idempotency keys.
 
-`acquire` gives leave to run a request once, or the answer of the run that
-there was, or says why neither. Whatever is left of a claim afterwards,
-removing it or storing its answer, goes on in the background until the
-table confirms it, and a planned stop waits for that.
+`acquire` returns a claim to run a request once, the stored answer of an
+earlier run, or the reason for neither. Removing a claim and storing its answer
+continue in the background until the table confirms them; a planned stop waits
+for that.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
 from galenahatch import tasks
 
 MAX_WRITERS: typing.Final = 2
-"""Schedulers of a region that write claims; bounds the writes a second."""
+"""Schedulers of a region that write claims; bounds the write rate."""
 _HOLDER_TIMEOUT_S: typing.Final = 1.0
 _REPLY_TIMEOUT_S: typing.Final = 5.0
 _RETRY_AFTER_S: typing.Final = 2.0
@@ -51,11 +51,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Claimed:
-    """Leave to run a request once.
+    """A claim that permits one run of a request.
 
     Attributes:
-        key: of the claim.
-        record: as it stands in the table.
+        key: key of the claim.
+        record: record of the claim in the table.
     """
 
     key: ids.ClaimKey
@@ -68,12 +68,12 @@
 
 
 class ClaimClient:
-    """Claims of one entry.
+    """Acquires and settles the claims of one entry.
 
     Args:
-        peers: schedulers.
-        stored: the object store, for large answers.
-        owner: runs background tasks.
+        peers: links to the schedulers.
+        object_store: client of the object store, for large answers.
+        task_group: runs the background tasks.
         timeout: seconds after which a claim counts as unconfirmed.
     """
 
@@ -97,13 +97,17 @@
 
     @property
     def unsettled_count(self) -> int:
-        """Claims whose fate is not in the table yet."""
+        """Number of claims whose final state is not in the table yet."""
         return self._tokens.count_unsettled() + len(self._pending_removals)
 
     async def acquire(
         self, key: ids.ClaimKey, fingerprint: str
     ) -> Claimed | claim.Answer | errors.Failure:
-        """Claim a key for one run."""
+        """Claim a key for one run of a request.
+
+        Returns:
+            the claim, the stored answer of an earlier run, or the failure.
+        """
         token = ids.ClaimToken(clock.token())
         self._tokens.add_pending(token)
         request = messages.ClaimRequest(
@@ -130,7 +134,7 @@
                 self._tokens.forget(token)
                 return await self._resolve_existing(reply, fingerprint)
         self.abandon(claimed)
-        # Only a table that was read vouches for a key that never ran.
+        # Only a successful read of the table proves that the key never ran.
         absent = reply is not None and (
             reply.status is states.ClaimStatus.ABSENT
         )
@@ -138,16 +142,16 @@
         return errors.Failure(reason, retry_after=_RETRY_AFTER_S)
 
     def try_dispatch(self, claimed: Claimed) -> bool:
-        """Return whether the work may be sent now, once."""
+        """Mark the claim as dispatched; return whether work may be sent."""
         return self._tokens.try_dispatch(claimed.token)
 
     def abandon(self, claimed: Claimed, not_started: bool = False) -> None:
-        """Give a claim up and remove it in the background.
+        """Abandon a claim and remove it in the background.
 
         Args:
-            claimed: the claim.
-            not_started: it is known that no upstream began the work though
-                it was dispatched.
+            claimed: claim to abandon.
+            not_started: whether it is certain that no upstream started the
+                work although it was dispatched.
         """
         if not_started:
             self._tokens.abandon_dispatched(claimed.token)
@@ -156,12 +160,12 @@
         self._remove_in_background(claimed)
 
     def finish(self, claimed: Claimed, answer: claim.Answer) -> None:
-        """Keep an answer and store it in the background."""
+        """Record an answer and store it in the background."""
         self._tokens.finish(claimed.token, answer)
         self._tasks.once(self._store_until_confirmed(claimed, answer))
 
     def handle_message(self, message: messages.AnyMessage) -> None:
-        """Take a message about claims from a scheduler."""
+        """Handle a message about claims from a scheduler."""
         if isinstance(message, messages.ClaimQuery):
             self._answer_query(message)
         elif isinstance(message, messages.ClaimAnswer):
@@ -172,10 +176,10 @@
                 future.set_result(message)
 
     def _handle_claim_answer(self, message: messages.ClaimAnswer) -> None:
-        """Take what a scheduler or the holder says of a claim.
+        """Handle an answer about a claim from its holder or a scheduler.
 
-        Every scheduler is asked, and one that has no word of the holder
-        knows nothing: its answer doesn't count.
+        Every scheduler is queried. One that has not heard from the holder
+        answers SILENT, which says nothing about the claim and is ignored.
         """
         query = self._queries.get(message.token)
         if message.state is states.HolderState.SILENT or query is None:
@@ -183,7 +187,7 @@
         if not query.done():
             query.set_result(message)
 
-    # Talk with the claim writers.
+    # Requests to the claim writers.
 
     async def _send_to_writer(
         self,
@@ -193,7 +197,7 @@
         | messages.ClaimDone,
         seconds: float,
     ) -> Reply | None:
-        """Send an operation to its writer; None without an answer."""
+        """Send an operation to its writer; return None on a timeout."""
         writer = self._writer(key)
         if writer is None or not self._peers.send(writer, message):
             return None
@@ -209,7 +213,7 @@
             self._replies.pop(message.token, None)
 
     def _writer(self, key: ids.ClaimKey) -> ids.MemberId | None:
-        """Return the scheduler that writes a key."""
+        """Return the scheduler that writes the claims of a key."""
         live = self._peers.schedulers()
         writers = rendezvous.rank('claims', live)[:MAX_WRITERS]
         return rendezvous.winner(key, writers)
@@ -217,7 +221,7 @@
     async def _store_until_confirmed(
         self, claimed: Claimed, answer: claim.Answer
     ) -> None:
-        """Store an answer until the table has it."""
+        """Store an answer, retrying until the table confirms it."""
         object_key = ''
         attempt = 0
         if len(answer.body) > claim.MAX_INLINE_ANSWER_BYTES:
@@ -249,7 +253,7 @@
             self._tasks.once(self._remove_until_confirmed(claimed))
 
     async def _remove_until_confirmed(self, claimed: Claimed) -> None:
-        """Remove a claim until the table no longer has it."""
+        """Remove a claim, retrying until the table confirms the removal."""
         message = messages.ClaimVoid(
             claimed.key, claimed.token, claim.encode(claimed.record)
         )
@@ -264,7 +268,7 @@
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
         self._pending_removals.pop(claimed.token, None)
 
-    # Keys that another claim holds.
+    # Keys that another claim already holds.
 
     async def _resolve_existing(
         self, reply: messages.ClaimReply, fingerprint: str
@@ -297,7 +301,7 @@
     async def _holder_state(
         self, key: ids.ClaimKey, record: claim.Record
     ) -> states.HolderState | claim.Answer:
-        """Return what the holder of a claim says of it."""
+        """Return the claim's state, or its answer, as its holder reports."""
         own_identity = (self._peers.member, self._peers.incarnation)
         if (record.holder, record.incarnation) == own_identity:
             return self._own_state(record, key)
@@ -349,7 +353,7 @@
         return states.HolderState.RUNNING
 
     def _answer_query(self, query: messages.ClaimQuery) -> None:
-        """Answer another entry's question about a token of this one."""
+        """Answer another entry's query about a token of this entry."""
         token_state = self._tokens.state(query.token)
         reported_states = {
             claim.Hold.PENDING: states.HolderState.RUNNING,
@@ -378,7 +382,7 @@
 
 
 def _existing_claim_failure(state: states.HolderState) -> errors.Failure:
-    """Return what a second arrival is told."""
+    """Return the failure for a request whose key is already claimed."""
     if state is states.HolderState.ABANDONED:
         return errors.Failure(
             errors.CLAIM_ABANDONED, retry_after=_RETRY_AFTER_S
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The controller: orders to engines, under one lease in the table.
+"""Controller: sends orders to engines while it holds a lease in the table.
 
-One controller holds the lease and brings engines to what is declared;
-the others stand by. A holder that can't renew sends nothing from half the
-lease's length on.
+One controller holds the lease and reconciles engines with the configuration;
+the others are standbys. A holder that cannot renew its lease stops sending
+orders after half of the lease's duration.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 _RENEWALS_PER_LEASE: typing.Final = 6
 _RECONCILE_INTERVAL_S: typing.Final = 1.0
 MAX_READS_PER_SECOND: typing.Final = 150
-"""Engines that are read back a second, so that reading stays cheap."""
+"""Limits how many engines are read per second, to keep polling cheap."""
 _MAX_CONCURRENT_READS: typing.Final = 32
 _log = logs.Log('controller')
 _RECORD_DECODER: typing.Final = msgspec.msgpack.Decoder(lease_module.Record)
@@ -84,7 +84,7 @@
         _log.info('Listening.', member=self.peers.member)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Send no further order and give the lease up."""
+        """Stop sending orders and release the lease."""
         application.ignore_signals(_log)
         was_holder = self._lease.is_holder(clock.now())
         self._lease.resign()
@@ -125,16 +125,17 @@
                 _log.info('Lease taken.', fencing=proposal.fencing)
 
     async def _delete_lease(self) -> None:
-        """Delete the lease, so that a standby need not wait it out."""
+        """Delete the lease so that a standby need not wait for its expiry."""
         if self._stored_lease is not None:
             await self.table.commit(
                 _compare_and_swap(self._stored_lease, None)
             )
 
     async def _reconcile(self) -> None:
-        """Read engines back and order what differs from what is wanted.
+        """Read the engines' state and send orders where it differs.
 
-        Many engines are read less often, but at once after a change.
+        The interval grows with the number of engines, but a new revision is
+        reconciled at once.
         """
         settings = self._merged_config()
         now = clock.now()
@@ -195,7 +196,7 @@
             )
 
     def _merged_config(self) -> schema.Config | None:
-        """Return the services and engines of all sites together."""
+        """Return the services and engines of all sites, merged."""
         services: dict[ids.ServiceName, schema.ModelService] = {}
         engines: dict[ids.EngineName, schema.Engine] = {}
         for settings in self.config.sites.values():
@@ -231,4 +232,4 @@
 
 
 def _ignore_message(message: messages.AnyMessage) -> None:
-    """Take no part in other traffic."""
+    """Ignore a message; controllers handle no traffic of other daemons."""
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""How an accepted configuration reaches a daemon.
+"""Distribution of accepted configurations to the daemons.
 
-Every daemon reads the head from the table now and then; a revision seen in
-a peer's heartbeat is fetched from that peer at once, and also while the
-stores are down. Only higher revisions are taken, from either source.
+Every daemon polls the head revision in the table. When a peer's heartbeat has
+a newer revision, the configuration is requested from that peer at once, which
+also works while the stores are down. Only newer revisions are applied.
 """
 
 import asyncio
@@ -41,16 +41,16 @@
 
 
 class Distribution:
-    """Follows the configuration on one daemon.
+    """Keeps the configuration of one daemon up to date.
 
     Attributes:
-        active: the configuration that the daemon works with.
+        active: configuration that the daemon uses.
 
     Args:
-        options: settings.
-        tables: client of the table.
-        stored: client of the object store.
-        owner: runs the tasks.
+        options: options of the daemon.
+        table_client: client of the table.
+        object_store: client of the object store.
+        task_group: runs the background tasks.
     """
 
     def __init__(
@@ -70,12 +70,12 @@
 
     @property
     def revision(self) -> ids.Revision:
-        """Number of the configuration in force; 0 before the first."""
+        """Revision of the active configuration; 0 before the first."""
         return self.active.revision
 
     @property
     def sites(self) -> dict[str, schema.Config]:
-        """Merged configuration by site."""
+        """Merged configurations by site name."""
         return self.active.sites
 
     def own_config(self) -> schema.Config | None:
@@ -83,7 +83,7 @@
         return self.active.config_of(self._options.data_centre)
 
     def region_of(self, data_centre: ids.DataCentre) -> ids.RegionName | None:
-        """Return the region of a data centre; None if not known."""
+        """Return the region of a data centre; None if it is unknown."""
         site = self.active.site_of(data_centre)
         return site.region if site else None
 
@@ -92,13 +92,13 @@
         return self.active.site_of(self._options.data_centre)
 
     def engine(self, name: ids.EngineName) -> schema.Engine | None:
-        """Return an engine of any site."""
+        """Return the engine of that name in any site."""
         return self.active.engine(name)
 
     def config_newer_than(
         self, revision: ids.Revision
     ) -> messages.ConfigBody | None:
-        """Return the configuration for a peer that has less."""
+        """Return the active configuration if it is newer, else None."""
         accepted = self.active.accepted
         if accepted is None or accepted.head.revision <= revision:
             return None
@@ -107,20 +107,20 @@
         )
 
     def drained_upstreams(self) -> tuple[str, ...]:
-        """Return the upstreams that operators drained."""
+        """Return the upstreams that operators are draining."""
         accepted = self.active.accepted
         return accepted.bundle.draining if accepted else ()
 
     def on_change(self, listener: Listener) -> None:
-        """Call a function after each change."""
+        """Register a callback for each applied configuration."""
         self._listeners.append(listener)
 
     def set_requester(self, request: Requester) -> None:
-        """Set how a peer is asked for its configuration."""
+        """Set the function that requests a peer's configuration."""
         self._request = request
 
     def start(self) -> None:
-        """Start the task that reads the table."""
+        """Start the task that polls the table."""
         poll = self._options.config_poll
         self._tasks.keep(
             'config', lambda: tasks.every(lambda: poll, self._poll_table)
@@ -129,13 +129,13 @@
     def record_peer_revision(
         self, member: ids.MemberId, seen: ids.Revision
     ) -> None:
-        """Take a revision seen in a heartbeat."""
+        """Request a peer's configuration if its revision is newer."""
         if seen <= self.revision or self._request is None:
             return
         self._request(member, messages.ConfigRequest(self.revision))
 
     def apply_peer_config(self, message: messages.ConfigBody) -> None:
-        """Take a peer's configuration."""
+        """Apply a configuration received from a peer."""
         accepted = revision_module.decode_accepted(message.body)
         if isinstance(accepted, errors.Failure):
             _log.warning('Configuration dropped.', detail=accepted.detail)
@@ -172,7 +172,8 @@
     ) -> None:
         if accepted.head.revision <= self.revision:
             return
-        # Parsing takes long at the planned size; streams go on meanwhile.
+        # A large configuration takes long to parse; a thread keeps the event
+        # loop free for streams.
         sites = await asyncio.to_thread(config.load, accepted.bundle)
         if not self.active.apply_if_newer(accepted, sites):
             return
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The entry: callers' HTTP on one side, schedulers and upstreams on the other.
+"""Entry: serves callers' HTTP requests through schedulers and upstreams.
 
-The application object wires the parts, passes messages on to them, and
-drains them on a planned stop.
+The application object creates the components, dispatches messages to them,
+and drains them on a planned stop.
 """
 
 import asyncio
@@ -90,7 +90,7 @@
         _log.info('Listening.', member=self.peers.member)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Refuse nothing until the balancer looks away, then drain."""
+        """Serve until the load balancer stops sending requests, then drain."""
         application.ignore_signals(_log)
         self.peers.standing = states.Standing.LEAVING
         _log.info('Leaving.', in_flight=self._serving.in_flight)
@@ -102,7 +102,7 @@
         await self._non_idempotent_session.close()
 
     async def _drain(self) -> None:
-        """Wait until nothing is in flight and every claim is settled."""
+        """Wait for requests in flight, unsettled claims and cancellations."""
         poll_count = 0
         while (
             self._serving.in_flight
@@ -147,7 +147,7 @@
             current_revision=lambda: self.config.revision,
         )
 
-    # News.
+    # Messages and state changes.
 
     def _handle_message(self, message: messages.AnyMessage) -> None:
         if isinstance(message, messages.Placed | messages.GivenUp):
--- a/galenahatch/execution.py
+++ b/galenahatch/execution.py
@@ -10,17 +10,16 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The course of one model request: place, prefill, transfer, decode.
+"""Execution of one model request: place, prefill, transfer, decode.
 
-A course makes attempts until one gives a whole answer, or no further one
-is allowed. What is told in the end never says less than what may have
-happened: `not_run` only if no attempt may have begun at an engine.
+A request is attempted until an attempt completes the response or no retry is
+allowed. The reported outcome never understates what may have happened:
+`not_run` only if no attempt may have started on an engine.
 
-An attempt that broke off after some tokens is continued, not repeated: the
-next one prefills the prompt with the tokens that were passed on, and goes
-on after them. A request that may run only once has a single attempt; it is
-placed again only while no engine may have begun it. Its stream can still
-be resumed, since a resume runs nothing anew.
+A retry after some tokens continues the response: the next attempt prefills
+the prompt and the tokens already sent, and generates the rest. A non-idempotent
+request has a single attempt and is placed again only while no engine may have
+started it. Its stream can still be resumed, since resuming runs nothing again.
 """
 
 import asyncio
@@ -56,13 +55,14 @@
 
 
 class RequestExecution:
-    """One request on its way.
+    """Runs one model request, with retries.
 
     Args:
-        means: shared by all courses.
-        asked: the checked request.
-        sink: where tokens go.
-        may_send: asked once, right before the first work is sent.
+        context: dependencies shared by all attempts.
+        model_request: validated model request.
+        sink: receiver of generated text.
+        try_dispatch: called once before the first work is sent; returns
+            whether it may be sent.
     """
 
     def __init__(
@@ -87,26 +87,26 @@
 
     @property
     def maybe_started(self) -> bool:
-        """Whether an engine may have begun the work."""
+        """Whether an engine may have started the work."""
         return self._maybe_started
 
     @property
     def text(self) -> str:
-        """The answer so far."""
+        """Text of the response so far."""
         return self._assembler.text
 
     @property
     def finish_reason(self) -> str:
-        """Why generation ended."""
+        """Finish reason of the response."""
         return self._assembler.finish_reason
 
     @property
     def token_count(self) -> int:
-        """Tokens of the answer so far."""
+        """Number of tokens in the response so far."""
         return self._assembler.offset
 
     async def run(self) -> errors.Failure | None:
-        """Run to the end; None when the answer is whole."""
+        """Run the request; return None when the response is complete."""
         attempt_number = 0
         budget = self._context.retry_budget_of(self._model_request.service)
         while True:
@@ -136,10 +136,10 @@
         return not (self._non_idempotent and self._maybe_started)
 
     def _combine_failures(self, failure: errors.Failure) -> errors.Failure:
-        """Return a failure that says no more than what is known.
+        """Combine the last failure with those of earlier attempts.
 
-        An attempt whose fate is unknown makes the whole unknown, and an
-        attempt that may have begun rules `not_run` out.
+        An attempt with an unknown outcome makes the request's outcome unknown,
+        and an attempt that may have started rules out `not_run`.
         """
         if self._unknown_failure is not None:
             detail = (
@@ -155,7 +155,7 @@
             )
         return failure
 
-    # One attempt.
+    # A single attempt.
 
     async def _run_attempt(self, number: int) -> errors.Failure | None:
         request = self._build_place_request(number)
@@ -184,7 +184,7 @@
     async def _run(
         self, attempt: attempt_module.Attempt
     ) -> errors.Failure | None:
-        """Run an attempt, and keep what it came to."""
+        """Run an attempt and record its outcome."""
         if not self._dispatched and not self._try_dispatch():
             attempt.release_engines('not allowed')
             return errors.Failure(errors.CLAIM_ABANDONED, retry_after=1.0)
@@ -256,6 +256,6 @@
 
 
 def _retries_spent(failure: errors.Failure) -> errors.Failure:
-    """Return the failure of a request that has no retry left."""
+    """Return the failure of a request whose retry budget is exhausted."""
     detail = f'{failure.reason.name} {failure.detail}'
     return errors.Failure(errors.RETRIES_SPENT, detail, 1.0)
