--- a/galenahatch/execution.py
+++ b/galenahatch/execution.py
@@ -17,9 +17,10 @@
 `not_run` only if no attempt may have started on an engine.
 
 A retry after some tokens continues the response: the next attempt prefills
-the prompt and the tokens already sent, and generates the rest. A non-idempotent
-request has a single attempt and is placed again only while no engine may have
-started it. Its stream can still be resumed, since resuming runs nothing again.
+the prompt and the tokens already sent, and generates the rest. A request that
+is not idempotent has a single attempt and is placed again only while no engine
+may have started it. Its stream can still be resumed, since resuming runs
+nothing again.
 """
 
 import asyncio
--- a/galenahatch/inbound.py
+++ b/galenahatch/inbound.py
@@ -10,10 +10,9 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Callers' requests: from HTTP to a checked, typed request.
+"""Parsing and validation of callers' HTTP requests.
 
-Everything wrong with a request is found here, before any of it reaches
-another process.
+An invalid request is rejected here, before any of it reaches another process.
 """
 
 import collections.abc
@@ -40,7 +39,7 @@
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """One message of a chat."""
+    """A message in a chat request."""
 
     role: str
     content: str
@@ -65,15 +64,15 @@
 
 
 class Headers(msgspec.Struct, frozen=True):
-    """The headers that matter, checked.
+    """Validated headers of a request.
 
     Attributes:
         request: id of the request.
         key: the caller's idempotency key, or empty.
         non_idempotent: whether the request may run only once.
-        deadline_ms: for the whole answer; None when not said.
-        urgency: class asked for; None when not said.
-        ticket: of an earlier refusal, or empty.
+        deadline_ms: milliseconds for the complete response; None if absent.
+        urgency: requested urgency class; None if absent.
+        ticket: queue ticket from an earlier refusal, or empty.
     """
 
     request: ids.RequestId
@@ -85,13 +84,13 @@
 
 
 class ModelRequest(msgspec.Struct, frozen=True):
-    """A checked request for a model service.
+    """A validated request for a model service.
 
     Attributes:
-        prompt_tokens: estimated.
-        deadline: seconds for the whole answer.
+        prompt_tokens: estimated length of the prompt in tokens.
+        deadline: seconds for the complete response.
         patience: seconds until the first token is too late.
-        chat: whether the answer has the form of a chat.
+        chat: whether the response has the form of a chat completion.
     """
 
     headers: Headers
@@ -114,7 +113,7 @@
 def read_headers(
     headers: collections.abc.Mapping[str, str],
 ) -> Headers | errors.Failure:
-    """Return the checked headers of a request."""
+    """Validate the headers of a request."""
     key = headers.get(IDEMPOTENCY_KEY, '')
     if len(key) > _MAX_KEY_LENGTH or not key.isprintable():
         return _bad_header_failure(
@@ -152,7 +151,7 @@
 def read_caller(
     headers: collections.abc.Mapping[str, str], settings: schema.Config
 ) -> schema.Caller | errors.Failure:
-    """Return who sends a request."""
+    """Authenticate the caller of a request."""
     scheme, _, token = headers.get('Authorization', '').partition(' ')
     if scheme.lower() != 'bearer' or not token:
         return errors.Failure(errors.UNAUTHORIZED, 'no bearer token')
@@ -169,7 +168,7 @@
     settings: schema.Config,
     chat: bool,
 ) -> ModelRequest | errors.Failure:
-    """Return a checked request for a model service."""
+    """Parse and validate a request for a model service."""
     parsed = _parse(body, chat)
     if isinstance(parsed, errors.Failure):
         return parsed
@@ -227,7 +226,7 @@
 def _effective_urgency(
     headers: Headers, caller: schema.Caller, service: schema.ModelService
 ) -> states.Urgency:
-    """Return the class asked for, but none better than the caller's."""
+    """Return the requested class, capped at the caller's highest class."""
     default = schema.urgency(service.urgency) or states.Urgency.URGENT
     highest = schema.urgency(caller.urgency) or states.Urgency.URGENT
     requested = default if headers.urgency is None else headers.urgency
--- a/galenahatch/messages.py
+++ b/galenahatch/messages.py
@@ -10,14 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Messages between the project's own processes.
+"""Messages between the daemons.
 
 A frame is one version byte followed by a MessagePack array whose first
-item is the tag of the message. `decode` never raises: a frame that is too
-large, of an unknown version or malformed comes back as a `Failure`, which
-the receiver counts, logs and drops. Field order is the wire order: new
-fields go at the end with a default, so that neighbouring versions can talk
-during a rolling replacement.
+item is the tag of the message. `decode` never raises: for a frame that is too
+large, of an unknown version or malformed it returns a `Failure`, which the
+receiver counts and logs before it drops the frame. Field order is the wire
+order: new fields go at the end with a default, so that adjacent versions are
+compatible during a rolling update.
 """
 
 import typing
@@ -33,19 +33,19 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of every message."""
+    """Base class of all messages."""
 
 
 class Heartbeat(Message, frozen=True, array_like=True, tag=True):
-    """A daemon's sign of life; a scheduler answers with its own.
+    """A daemon's heartbeat; a scheduler replies with its own.
 
     Attributes:
-        member: who is alive.
+        member: id of the daemon.
         incarnation: random number chosen at start.
-        data_centre: where the VM of the daemon stands.
-        standing: leaving once a planned stop began.
-        revision: configuration in force on the daemon.
-        ready: whether it takes traffic.
+        data_centre: data centre of the daemon's VM.
+        standing: LEAVING after a planned stop began.
+        revision: revision of the daemon's active configuration.
+        ready: whether the daemon takes traffic.
         load: requests in flight (entry) or waiting (scheduler).
         reason: why the daemon takes no traffic; empty when ready.
     """
@@ -61,24 +61,24 @@
 
 
 class PlaceRequest(Message, frozen=True, array_like=True, tag=True):
-    """Ask a cell's owner for a pair of engines.
+    """Requests a pair of engines from a cell's owner.
 
     Attributes:
         request: id of the request.
-        stream: id of the attempt; the reservation bears it too.
-        entry: who asks, for orphan detection.
+        stream: id of the attempt and of its reservation.
+        entry: id of the requesting entry, for orphan detection.
         service: model service.
-        site: whose overlay limits the engines.
-        caller: for fair shares.
-        urgency: class.
-        prompt_tokens: estimated length of the prompt.
-        output_tokens: most tokens that will be generated.
+        site: site whose overlay limits the engines.
+        caller: caller's name, for fair queueing.
+        urgency: urgency class.
+        prompt_tokens: estimated length of the prompt in tokens.
+        output_tokens: maximum number of tokens to generate.
         first_token_timeout: seconds until the first token is too late.
-        blocks: hashes of the prompt's prefix blocks, first to last.
+        blocks: hashes of the prompt's prefix blocks, in order.
         avoided_engines: engines that failed this request before.
-        data_centre: of the entry.
-        revision: configuration that the entry works with.
-        ticket: from an earlier GivenUp, or empty.
+        data_centre: data centre of the entry.
+        revision: revision of the entry's active configuration.
+        ticket: ticket from an earlier GivenUp, or empty.
     """
 
     request: ids.RequestId
@@ -99,11 +99,11 @@
 
 
 class Placed(Message, frozen=True, array_like=True, tag=True):
-    """The pair of engines for an attempt.
+    """Assigns a pair of engines to an attempt.
 
     Attributes:
         explanation: scores of the chosen pair and of the rejected ones.
-        transfer: seconds of the links reserved.
+        transfer: seconds of link time reserved.
     """
 
     stream: ids.StreamId
@@ -114,12 +114,13 @@
 
 
 class GivenUp(Message, frozen=True, array_like=True, tag=True):
-    """The cell does not place an attempt.
+    """Refuses to place an attempt.
 
     Attributes:
-        reason: name in the registry of errors.
-        retry_after: seconds after which there will be room.
-        ticket: to bring back then, or empty.
+        reason: name of the reason in the registry of errors.
+        retry_after: seconds until capacity is expected.
+        explanation: state of the queue, for the log.
+        ticket: ticket to send with a retry, or empty.
     """
 
     stream: ids.StreamId
@@ -130,12 +131,12 @@
 
 
 class Progress(Message, frozen=True, array_like=True, tag=True):
-    """An attempt entered a stage.
+    """Reports that an attempt entered a stage.
 
     Attributes:
-        cached_tokens: prompt tokens the prefill engine found in its cache,
-            as it reports them; -1 when not known.
-        seconds: how long the stage before took.
+        cached_tokens: prompt tokens that the prefill engine reports as
+            cached; -1 if unknown.
+        seconds: duration of the previous stage in seconds.
     """
 
     stream: ids.StreamId
@@ -146,12 +147,12 @@
 
 
 class Release(Message, frozen=True, array_like=True, tag=True):
-    """An attempt ended; its engines are free of it.
+    """Reports that an attempt ended and holds no engine resources.
 
     Attributes:
         failed_engine: engine at fault, or None.
-        tokens: output tokens generated.
-        seconds_per_token: mean time between tokens; 0 when not known.
+        tokens: number of output tokens generated.
+        seconds_per_token: mean seconds between tokens; 0 if unknown.
         note: how the attempt ended, for `explain`.
     """
 
@@ -163,7 +164,7 @@
 
 
 class Held(msgspec.Struct, frozen=True, array_like=True):
-    """One attempt that an entry has in flight."""
+    """An attempt that an entry has in flight."""
 
     stream: ids.StreamId
     cell: ids.CellId
@@ -176,12 +177,13 @@
 
 
 class HeldReport(Message, frozen=True, array_like=True, tag=True):
-    """The attempts of an entry that concern one scheduler, complete.
+    """Complete list of an entry's attempts that concern one scheduler.
 
     Attributes:
         owned: attempts in cells that the scheduler owns, from which it
             rebuilds its reservations.
-        watched: the others, to cancel should the entry go silent.
+        watched: other attempts, which the scheduler cancels if the entry
+            goes silent.
     """
 
     entry: ids.MemberId
@@ -191,7 +193,7 @@
 
 
 class Watch(Message, frozen=True, array_like=True, tag=True):
-    """Sent to a watcher before work of one attempt goes to an engine."""
+    """Tells a watcher of an attempt before its work goes to an engine."""
 
     entry: ids.MemberId
     incarnation: int
@@ -199,19 +201,20 @@
 
 
 class Unwatch(Message, frozen=True, array_like=True, tag=True):
-    """An attempt's streams are confirmed ended on its engines."""
+    """Reports that an attempt's streams have ended on its engines."""
 
     entry: ids.MemberId
     stream: ids.StreamId
 
 
 class ClaimRequest(Message, frozen=True, array_like=True, tag=True):
-    """Claim a key for one run.
+    """Requests a claim on a key for one run.
 
     Attributes:
-        fingerprint: digest of the body, to tell a reused key.
-        holder: entry that will run it.
-        incarnation: of the holder: a restarted entry knows nothing of it.
+        fingerprint: digest of the body, which detects a reused key.
+        holder: entry that will run the request.
+        incarnation: incarnation of the holder; a restarted entry has lost its
+            claims.
     """
 
     key: ids.ClaimKey
@@ -222,7 +225,7 @@
 
 
 class ClaimReply(Message, frozen=True, array_like=True, tag=True):
-    """Answer to a claim; the record when another token holds the key."""
+    """Reply to a ClaimRequest; has the record if another token won."""
 
     key: ids.ClaimKey
     token: ids.ClaimToken
@@ -231,10 +234,10 @@
 
 
 class ClaimVoid(Message, frozen=True, array_like=True, tag=True):
-    """Remove a claim that was never dispatched; confirmed by VoidReply.
+    """Removes a claim that was never dispatched; VoidReply confirms it.
 
     Attributes:
-        record: the claim as it would stand in the table.
+        record: the record that the table holds if the claim was written.
     """
 
     key: ids.ClaimKey
@@ -243,7 +246,7 @@
 
 
 class VoidReply(Message, frozen=True, array_like=True, tag=True):
-    """Whether the table is known to hold no such claim."""
+    """Tells whether the table is known to hold no such claim."""
 
     key: ids.ClaimKey
     token: ids.ClaimToken
@@ -251,7 +254,7 @@
 
 
 class ClaimDone(Message, frozen=True, array_like=True, tag=True):
-    """Mark a claim as finished; its answer is in the object store.
+    """Marks a claim as finished; large answers are in the object store.
 
     Attributes:
         expected_record: the record that the table holds now.
@@ -265,7 +268,7 @@
 
 
 class DoneReply(Message, frozen=True, array_like=True, tag=True):
-    """Whether the table has the finished record."""
+    """Tells whether the table holds the finished record."""
 
     key: ids.ClaimKey
     token: ids.ClaimToken
@@ -273,7 +276,7 @@
 
 
 class ClaimQuery(Message, frozen=True, array_like=True, tag=True):
-    """Ask the holder of a claim what became of it, through a scheduler.
+    """Queries the holder of a claim for its state, through a scheduler.
 
     Attributes:
         record: the record that the table holds.
@@ -288,10 +291,10 @@
 
 
 class ClaimAnswer(Message, frozen=True, array_like=True, tag=True):
-    """Answer to a ClaimQuery.
+    """Reply to a ClaimQuery.
 
     Attributes:
-        answer: the encoded answer when the state is finished.
+        answer: encoded answer if the state is FINISHED.
     """
 
     token: ids.ClaimToken
@@ -301,20 +304,20 @@
 
 
 class AliveQuery(Message, frozen=True, array_like=True, tag=True):
-    """Ask another scheduler how long ago it heard of a member."""
+    """Asks another scheduler when it last heard from a member."""
 
     member: ids.MemberId
 
 
 class AliveReply(Message, frozen=True, array_like=True, tag=True):
-    """Seconds since the member was heard; negative when never."""
+    """Tells the seconds since a member's last heartbeat; negative if none."""
 
     member: ids.MemberId
     silence: float
 
 
 class ConfigRequest(Message, frozen=True, array_like=True, tag=True):
-    """Ask a peer for its configuration if it is above a revision."""
+    """Requests a peer's configuration if it is newer than a revision."""
 
     newer_than: ids.Revision
 
@@ -327,11 +330,11 @@
 
 
 class StatusRequest(Message, frozen=True, array_like=True, tag=True):
-    """Ask a scheduler for what it knows; answered by StatusReply."""
+    """Requests the status of a scheduler; answered by StatusReply."""
 
 
 class EngineLoad(msgspec.Struct, frozen=True, array_like=True):
-    """One engine as its owner sees it."""
+    """Load of an engine as recorded by its owner."""
 
     engine: ids.EngineName
     service: ids.ServiceName
@@ -350,13 +353,13 @@
 
 
 class ExplainRequest(Message, frozen=True, array_like=True, tag=True):
-    """Ask for the decisions taken for one request."""
+    """Requests the log of decisions about one request."""
 
     request: ids.RequestId
 
 
 class ExplainReply(Message, frozen=True, array_like=True, tag=True):
-    """Decision lines of one request, oldest first."""
+    """Decision log lines of one request, oldest first."""
 
     request: ids.RequestId
     lines: tuple[str, ...]
@@ -398,12 +401,12 @@
 
 
 def encode(message: AnyMessage) -> bytes:
-    """Return the frame of a message."""
+    """Encode a message as a frame."""
     return _PREFIX + _ENCODER.encode(message)
 
 
 def decode(frame: bytes) -> AnyMessage | errors.Failure:
-    """Return the message of a frame, or why there is none."""
+    """Decode the message in a frame; return a failure if it is invalid."""
     if not frame or len(frame) > bus.MAX_FRAME_BYTES:
         return errors.Failure(errors.BAD_FRAME, f'{len(frame)} bytes')
     if frame[0] != VERSION:
--- a/galenahatch/orphans.py
+++ b/galenahatch/orphans.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The task that cancels the streams of entries that are gone.
+"""Task that cancels the streams of entries that are gone.
 
-Streams that entries report are kept by entry. When an entry falls silent,
-the other schedulers are asked whether they hear it; if one has not either,
-or the VM list no longer has the VM, or nobody can tell for long, the
-entry's streams are cancelled on their engines and its places freed.
+Entries report their streams. When an entry goes silent, the other schedulers
+are queried. If one of them has not heard from it either, the VM list no longer
+has its VM, or no scheduler confirms it for a longer timeout, the entry's
+streams are cancelled on their engines and its reservations are released.
 """
 
 import collections.abc
@@ -35,12 +35,12 @@
 
 
 class OrphanCanceller:
-    """Watched streams and their entries.
+    """Watches streams by entry and cancels those of entries that are gone.
 
     Args:
         peers: membership, and links to other schedulers.
-        canceller: frees streams.
-        forget: called with each entry that is taken for gone.
+        canceller: cancels streams on engines.
+        on_entry_gone: callback for each entry that is considered gone.
     """
 
     def __init__(
@@ -53,18 +53,18 @@
         self._canceller = canceller
         self._on_entry_gone = on_entry_gone
         self._watch = watch.StreamWatch()
-        # When a second scheduler last said that it hears an entry.
+        # Time at which another scheduler last confirmed an entry.
         self._confirmed_alive_at: dict[ids.MemberId, float] = {}
 
     @property
     def count(self) -> int:
-        """Streams that are watched."""
+        """Number of watched streams."""
         return self._watch.count()
 
     def handle_message(
         self, message: messages.Watch | messages.Unwatch | messages.HeldReport
     ) -> None:
-        """Take an entry's word on its streams."""
+        """Handle an entry's message about its streams."""
         if isinstance(message, messages.Watch):
             held = (message.attempt,)
             orphans = self._watch.add(message.entry, message.incarnation, held)
@@ -78,24 +78,24 @@
     def record_placement(
         self, entry: ids.MemberId, held: messages.Held
     ) -> None:
-        """Watch an attempt that this scheduler placed itself."""
+        """Watch an attempt that this scheduler placed."""
         incarnation = self._peers.membership.incarnation_of(entry)
         if incarnation is not None:
             self._watch.add(entry, incarnation, (held,))
 
     def remove_stream(self, stream: ids.StreamId) -> None:
-        """Forget an attempt whose entry released it."""
+        """Stop watching an attempt that its entry released."""
         self._watch.remove_stream(stream)
 
     def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-        """Take a heartbeat."""
+        """Record a heartbeat; cancel streams of an earlier incarnation."""
         orphans = self._watch.record_heartbeat(
             heartbeat.member, heartbeat.incarnation
         )
         self._cancel(heartbeat.member, orphans, 'restarted')
 
     def record_reply(self, reply: messages.AliveReply) -> None:
-        """Take a second scheduler's word on an entry."""
+        """Handle another scheduler's reply about an entry."""
         now = clock.now()
         limit = self._peers.membership.silence_timeout
         own_silence = self._peers.membership.silence_duration(
@@ -103,20 +103,20 @@
         )
         if 0 <= reply.silence <= limit:
             self._confirmed_alive_at[reply.member] = now
-        # Who has never heard the entry may have just started.
+        # A scheduler that never heard from the entry may have just started.
         elif reply.silence > limit and own_silence > limit:
             if not self._is_confirmed_alive(reply.member, now):
                 self._cancel_entry(reply.member, 'confirmed')
 
     async def check(self) -> None:
-        """Look for silent entries."""
+        """Check for silent entries."""
         self.check_at(clock.now())
 
     def check_at(self, now: float) -> None:
-        """Look for silent entries.
+        """Check for silent entries at a given time.
 
         Args:
-            now: monotonic seconds.
+            now: monotonic time in seconds.
         """
         membership = self._peers.membership
         silent = membership.silent_members(now)
@@ -133,7 +133,7 @@
                 self._cancel_entry(entry, 'silent')
 
     def _is_confirmed_alive(self, entry: ids.MemberId, now: float) -> bool:
-        """Return whether another scheduler lately heard an entry."""
+        """Return whether another scheduler recently heard from an entry."""
         at = self._confirmed_alive_at.get(entry)
         return (
             at is not None
@@ -141,7 +141,7 @@
         )
 
     def _query_schedulers(self, entry: ids.MemberId) -> bool:
-        """Ask every other live scheduler; False when there is none."""
+        """Query all other live schedulers; return whether any was sent."""
         was_sent = False
         for member in self._peers.schedulers():
             if member != self._peers.member:
@@ -171,4 +171,4 @@
 
 
 def _do_nothing() -> None:
-    """Do nothing: the places of a gone entry are freed at once."""
+    """Do nothing: a gone entry's reservations are released at once."""
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The other daemons, as one daemon sees them.
+"""Links to the schedulers, and the membership that a daemon observes.
 
-Every daemon connects to the schedulers of its region: those it was set up
-with and those that the VM list has. It sends heartbeats over each link and
-hears the schedulers' own in return; a scheduler hears all roles. The
-interval grows with the number of members, which bounds what heartbeats
-cost a daemon however large the region is.
+Every daemon connects to the schedulers of its region: those in its options
+and those in the VM list. It sends heartbeats over each link and receives the
+schedulers' heartbeats in return; a scheduler receives those of all roles. The
+interval grows with the number of members, which bounds the cost of heartbeats
+for a daemon in a region of any size.
 """
 
 import collections.abc
@@ -44,14 +44,14 @@
 
 
 class Peers:
-    """Links to the schedulers, and who is alive.
+    """Links to the schedulers, and the live members.
 
     Args:
-        options: settings.
-        role: of this daemon.
-        in_force: the daemon's configuration.
-        platform: client of the VM list.
-        handler: called with each message that is not about peers.
+        options: options of this daemon.
+        role: role of this daemon.
+        settings: distribution of the configuration.
+        vm_client: client of the VM list.
+        handler: callback for each message that is not about peers.
     """
 
     def __init__(
@@ -81,17 +81,17 @@
         self.load = 0
 
     def on_vm_list(self, listener: VmListener) -> None:
-        """Call a function with each VM list."""
+        """Register a callback for each VM list."""
         self._vm_listeners.append(listener)
 
     def on_heartbeat(
         self, listener: collections.abc.Callable[[], None]
     ) -> None:
-        """Call a function after each round of heartbeats."""
+        """Register a callback for each round of heartbeats."""
         self._heartbeat_listeners.append(listener)
 
     def start(self, task_group: tasks.Tasks) -> None:
-        """Start the tasks."""
+        """Connect to the configured peers and start the tasks."""
         for address in self._options.peers:
             self._connect(address)
         interval = self.interval
@@ -110,7 +110,7 @@
         self._links.clear()
 
     def interval(self) -> float:
-        """Return the time between two heartbeats."""
+        """Return the heartbeat interval in seconds."""
         scaled = self.membership.count() * _INTERVAL_PER_MEMBER_S
         return max(self._options.heartbeat, scaled)
 
@@ -119,7 +119,7 @@
         return self.membership.live_members(states.Role.SCHEDULER, clock.now())
 
     def send(self, member: ids.MemberId, message: messages.AnyMessage) -> bool:
-        """Send a message to a scheduler; False without a link to it."""
+        """Send a message to a scheduler; return False without a link."""
         link = self._links.get(member)
         if link is None:
             return False
@@ -145,7 +145,7 @@
         )
 
     def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
-        """Take a heartbeat, from a link or from the hub."""
+        """Record a heartbeat received from a link or from the hub."""
         now = clock.now()
         is_new = self.membership.record_heartbeat(heartbeat, now)
         if is_new and heartbeat.member != self.member:
@@ -196,7 +196,7 @@
                 self._links.pop(member).close()
 
     def _reachable_vms(self) -> list[vms.Vm]:
-        """Return the VMs of this region, or a few while it is not known."""
+        """Return the VMs of this region, or a few while it is unknown."""
         vm_list = sorted(self._system_vms.values(), key=lambda vm: vm.name)
         region = self._config.region_of(self._options.data_centre)
         if region is None:
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The task that owns a scheduler's cells.
+"""Task that owns a scheduler's cells.
 
-It takes messages from its inbox one at a time, lets the cells decide, and
-sends the decisions to the entries that asked. Each decision is one log
-line. A cell is made for what this scheduler owns, and for any other that
-an entry asks it for: two schedulers that disagree on the members only
-over-offer an engine for a moment.
+It handles events from its inbox one at a time, lets the cells decide, and
+sends the decisions to the requesting entries. Each decision is one log line.
+Cells are created for those this scheduler owns and for any other that an entry
+requests: two schedulers that disagree on the membership can only overcommit
+an engine for a short time.
 """
 
 import asyncio
@@ -44,13 +44,14 @@
 
 
 class Placement:
-    """Cells and their inbox.
+    """Cells and the inbox of their events.
 
     Args:
-        settings: the configuration in force.
-        data_centre: of this scheduler.
-        kept: decision lines for `explain`.
-        placed: told of each attempt that is placed, before its entry is.
+        settings: distribution of the configuration.
+        data_centre: data centre of this scheduler.
+        trail_of_decisions: log of decisions for `explain`.
+        on_placed: callback for each placed attempt, before its entry is
+            notified.
     """
 
     def __init__(
@@ -76,9 +77,9 @@
         ] = {}
         self._leaving: frozenset[ids.EngineName] = frozenset()
         self._reported_waiting = 0
-        # Of the plans; the configuration in force may be ahead of them.
+        # Revision of the cells; the active configuration may be newer.
         self._revision = ids.Revision(0)
-        # Requests of entries that are ahead of this scheduler's revision.
+        # Requests of entries with a newer revision than this scheduler's.
         self._deferred: list[placementevents.EntryMessage] = []
         self._cell_configs: collections.abc.Mapping[
             ids.CellId, cells_module.CellConfig
@@ -86,20 +87,20 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a place."""
+        """Number of queued requests."""
         return sum(cell.queue_length for cell in self._cells.values())
 
     @property
     def cells(self) -> tuple[cell_module.Cell, ...]:
-        """The cells, in no special order."""
+        """The cells, in no particular order."""
         return tuple(self._cells.values())
 
     def put(self, event: placementevents.PlacementEvent) -> None:
-        """Put news into the inbox."""
+        """Queue an event."""
         self._inbox.put_nowait(event)
 
     def engine_loads(self) -> tuple[messages.EngineLoad, ...]:
-        """Return the engines of all cells."""
+        """Return the load of the engines of all cells."""
         plan = []
         for cell in self._cells.values():
             for prefill in cell.prefills:
@@ -131,7 +132,7 @@
         return tuple(plan)
 
     async def run(self) -> None:
-        """Work through the inbox until cancelled."""
+        """Handle events and decide until cancelled."""
         while True:
             timeout = self._next_timeout()
             with contextlib.suppress(asyncio.TimeoutError):
@@ -210,7 +211,7 @@
         request: messages.PlaceRequest,
         send: collections.abc.Callable[[messages.AnyMessage], None],
     ) -> None:
-        """Answer a request that was sent again."""
+        """Answer a request that the entry sent again."""
         reservation = cell.active_reservations.get(request.stream)
         if reservation is None:
             self._reply_senders[request.stream] = send
@@ -227,7 +228,7 @@
     def _caller_share(
         self, cell: cell_module.Cell, request: messages.PlaceRequest
     ) -> tuple[float, errors.Reason | None]:
-        """Return a caller's weight, or why it may not wait."""
+        """Return a caller's weight and the reason to refuse it, if any."""
         settings = self._config.sites.get(request.site)
         caller = settings.caller(request.caller) if settings else None
         if caller is None:
@@ -361,7 +362,7 @@
         self._reported_waiting = self.waiting
 
     def _announce(self, decision: jobs.Decision) -> None:
-        """Send a decision to its entry, log it, and keep it."""
+        """Log a decision, add it to the trail, and send it to its entry."""
         answer = decision.answer
         request = decision.request
         send = self._reply_senders.pop(answer.stream, None)
@@ -412,7 +413,7 @@
 
 
 def request_of(stream: ids.StreamId) -> ids.RequestId:
-    """Return the request that an attempt belongs to."""
+    """Return the id of the request that an attempt belongs to."""
     return ids.RequestId(stream.rpartition('.')[0])
 
 
--- a/galenahatch/placementclient.py
+++ b/galenahatch/placementclient.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Placing requests: an entry's side of the talk with the owners of cells.
+"""Client of the cells' owners, used by entries to place requests.
 
-A request to place is sent again every second until it is answered, to the
-owner of that moment; the owner recognises it by its stream. So a lost
-message, a restarted owner or a change of owner delays a request and loses
-nothing.
+A placement request is resent every second until it is answered, each time to
+the current owner, which identifies repeats by their stream id. A lost message,
+a restarted owner or a change of owner therefore delays a request but does not
+lose it.
 """
 
 import asyncio
@@ -37,19 +37,19 @@
 
 _RESEND_INTERVAL_S: typing.Final = 1.0
 REPORT_INTERVAL_S: typing.Final = 8.0
-"""Seconds between complete reports of attempts."""
+"""Seconds between complete reports of the attempts in flight."""
 _NO_SCHEDULER_DELAY_S: typing.Final = 0.1
 _RETRY_AFTER_S: typing.Final = 2.0
 _log = logs.Log('placing')
 
 
 class PlacementClient:
-    """Requests that wait for a place, and attempts in flight.
+    """Pending placement requests and the attempts in flight.
 
     Args:
-        peers: schedulers.
-        settings: configuration in force.
-        data_centre: of this entry.
+        peers: links to the schedulers.
+        settings: distribution of the configuration.
+        data_centre: data centre of this entry.
     """
 
     def __init__(
@@ -69,16 +69,16 @@
         self._held: dict[ids.StreamId, messages.Held] = {}
         self._owners: dict[ids.StreamId, ids.MemberId] = {}
         self._watchers: dict[ids.StreamId, ids.MemberId | None] = {}
-        # When each scheduler had its last report, and who it was then.
+        # Incarnation of each scheduler and time of its last report.
         self._last_reports: dict[ids.MemberId, tuple[int | None, float]] = {}
 
     @property
     def in_flight(self) -> int:
-        """Attempts in flight."""
+        """Number of attempts in flight."""
         return len(self._held)
 
     def apply_configuration(self) -> None:
-        """Take a new configuration."""
+        """Compute the cells of a new configuration."""
         region = self._config.region_of(self._data_centre)
         if region is not None:
             plans = cells.cell_configs(self._config.sites, region)
@@ -87,7 +87,7 @@
     async def place(
         self, request: messages.PlaceRequest
     ) -> messages.Placed | errors.Failure:
-        """Return the engines for an attempt, or why there are none."""
+        """Request the engines for an attempt; return a failure if refused."""
         give_up_at = clock.now() + request.first_token_timeout
         future: asyncio.Future[messages.Placed | messages.GivenUp]
         future = asyncio.get_running_loop().create_future()
@@ -123,8 +123,8 @@
                 request, first_token_timeout=remaining
             )
             self._peers.send(owner, resent)
-            # The owner gives up in time; its answer is waited for a little
-            # beyond that.
+            # The owner refuses the request before its timeout; waiting for
+            # the whole interval leaves time for the reply to arrive.
             with contextlib.suppress(asyncio.TimeoutError):
                 async with asyncio.timeout(_RESEND_INTERVAL_S):
                     return self._apply_reply(await asyncio.shield(future))
@@ -141,7 +141,7 @@
         )
 
     def handle_reply(self, answer: messages.Placed | messages.GivenUp) -> None:
-        """Take an owner's answer."""
+        """Handle an owner's reply."""
         future = self._pending.get(answer.stream)
         if future is not None and not future.done():
             future.set_result(answer)
@@ -151,12 +151,12 @@
                 self._peers.broadcast(release)
 
     def record_attempt(self, held: messages.Held) -> None:
-        """Note an attempt before its work is sent, and tell watchers."""
+        """Record an attempt and notify its watcher before work is sent."""
         self._held[held.stream] = held
         message = messages.Watch(
             self._peers.member, self._peers.incarnation, held
         )
-        # The owner knows of the attempt, since it placed it.
+        # The owner placed the attempt, so only the watcher is notified.
         watcher = self._choose_watcher(self._owners.get(held.stream))
         self._watchers[held.stream] = watcher
         if watcher is not None:
@@ -169,7 +169,7 @@
         cached_tokens: int,
         seconds: float,
     ) -> None:
-        """Tell the owner how far an attempt is."""
+        """Report to the owner that an attempt entered a stage."""
         held = self._held.get(stream)
         if held is None:
             return
@@ -182,7 +182,7 @@
             self._peers.send(owner, progress)
 
     def release(self, release: messages.Release) -> None:
-        """Tell owner and watcher that an attempt holds nothing more."""
+        """Tell owner and watcher that an attempt holds no resources."""
         stream = release.stream
         owner = self._owners.pop(stream, None)
         self._held.pop(stream, None)
@@ -194,12 +194,12 @@
             self._peers.send(watcher, unwatch)
 
     def send_reports(self) -> None:
-        """Tell owners and watchers of all attempts in flight, if due.
+        """Send complete reports of the attempts in flight that are due.
 
-        Called with each heartbeat. Single messages tell of each change, so
-        a complete report only repairs what was lost: it is sent now and
-        then, and at once to a scheduler that is new, restarted, or takes
-        attempts over from one that is gone.
+        Called with each heartbeat. Each change has a message of its own, so a
+        complete report only repairs losses. It is sent periodically, and at
+        once to a scheduler that is new, restarted, or takes over attempts from
+        one that is gone.
         """
         now = clock.now()
         live = set(self._peers.schedulers())
@@ -220,7 +220,7 @@
             del self._last_reports[member]
 
     def _reassign(self, live: set[ids.MemberId]) -> set[ids.MemberId]:
-        """Move attempts of schedulers that are gone; return the new ones."""
+        """Reassign attempts of gone schedulers; return the new schedulers."""
         changed = set()
         for stream, held in self._held.items():
             if self._owners.get(stream) not in live:
@@ -253,7 +253,7 @@
         self._peers.send(member, report)
 
     def cell_of(self, request: messages.PlaceRequest) -> ids.CellId | None:
-        """Return the cell of a request; None if its service has none."""
+        """Return the cell of a request; None if there is none."""
         region = self._config.region_of(self._data_centre)
         if region is None:
             return None
@@ -273,7 +273,7 @@
     def _choose_watcher(
         self, owner: ids.MemberId | None
     ) -> ids.MemberId | None:
-        """Return a second scheduler, if possible not on this VM."""
+        """Return a scheduler besides the owner, preferably on another VM."""
         ranked = rendezvous.rank(self._peers.member, self._peers.schedulers())
         others = [member for member in ranked if member != owner]
         own_address = self._peers.member.partition('/')[2].rpartition(':')[0]
--- a/galenahatch/plainservices.py
+++ b/galenahatch/plainservices.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Plain services: one call in, one call out.
+"""Plain services: forwards each call to one upstream.
 
-A call that may be repeated is tried at each upstream in turn. A call that
-may not is claimed like a model request, sent once over a fresh connection,
-and goes on to the next upstream only if it is known not to have started.
+An idempotent call is tried on each upstream in turn. A non-idempotent call is
+claimed like a model request, sent once over a new connection, and tried on the
+next upstream only if it certainly did not start.
 """
 
 import asyncio
@@ -44,13 +44,14 @@
 
 
 class PlainServices:
-    """Calls of plain services.
+    """Forwards calls to plain services.
 
     Args:
-        repeatable: session for calls that may be sent again.
-        once: session for calls that may not.
-        claiming: claims keys.
-        leaving: which upstreams leave.
+        idempotent_session: HTTP session for calls that may be sent again.
+        non_idempotent_session: HTTP session for calls that may be sent only
+            once.
+        claim_client: claims idempotency keys.
+        leaving: record of the upstreams that are leaving.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         caller: schema.Caller,
         headers: inbound.Headers,
     ) -> web.StreamResponse:
-        """Route one call and answer it."""
+        """Forward a call and return its response."""
         service = settings.plain_service(request.match_info['name'])
         if service is None:
             return answers.failure_response(
@@ -104,8 +105,8 @@
         if isinstance(claimed, claim.Answer):
             _log.info('Answer repeated.', request=headers.request, key=key)
             return answers.build_response(claimed, headers.request)
-        # The call goes on when its caller leaves: its answer is kept for a
-        # second arrival, and it holds no engine.
+        # The call continues when its caller disconnects: the stored answer
+        # serves a retry, and the call holds no engine.
         task = asyncio.ensure_future(
             self._run_once(service, call, claimed, headers.request)
         )
@@ -143,7 +144,7 @@
         call: service_client.Call,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
-        """Send until an upstream may have started the call."""
+        """Try upstreams until one may have started the call."""
         result: service_client.Result | errors.Failure
         result = errors.Failure(errors.NO_ENGINE, retry_after=1.0)
         for url in self._upstreams(service):
@@ -162,7 +163,7 @@
         call: service_client.Call,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
-        """Try each upstream until one answers."""
+        """Try upstreams until one answers."""
         result: service_client.Result | errors.Failure
         result = errors.Failure(errors.NO_ENGINE, retry_after=1.0)
         started_failure: errors.Failure | None = None
@@ -206,7 +207,7 @@
         return result
 
     def _upstreams(self, service: schema.PlainService) -> list[str]:
-        """Return the upstreams that don't leave, in their order."""
+        """Return the upstreams that are not leaving, in configured order."""
         return [
             url
             for url in service.upstreams
@@ -219,10 +220,10 @@
 def is_unrepeatable(
     service: schema.PlainService, call: service_client.Call
 ) -> bool:
-    """Return whether the configuration says that a call runs only once.
+    """Return whether a configured rule makes a call non-idempotent.
 
-    The path is compared as an upstream may read it: decoded, without empty
-    or relative segments, so that no spelling slips past a rule.
+    The path is normalised as an upstream may do it (decoded, without empty or
+    relative segments), so that no alternative spelling evades a rule.
     """
     decoded = parse.unquote(call.path.partition('?')[0])
     path = posixpath.normpath('/' + decoded.lstrip('/'))
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -10,12 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The scheduler: owns cells, writes claims, watches entries.
+"""Scheduler: owns cells, writes claims and watches entries.
 
-The application object wires the parts and sends each message to the part
-that it is for. Ownership of cells follows from the live members of the
-region, without agreement: each cell belongs to the scheduler that wins its
-rendezvous hash.
+The application object creates the components and dispatches messages to them.
+Ownership of cells follows from the region's live members without consensus:
+each cell belongs to the scheduler that wins its rendezvous hash.
 """
 
 import asyncio
@@ -86,7 +85,7 @@
         _log.info('Listening.', member=self.peers.member)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Hand over what is owned, finish what was begun, and stop."""
+        """Hand over owned cells, finish pending work, and stop."""
         application.ignore_signals(_log)
         self.peers.standing = states.Standing.LEAVING
         self.peers.not_ready_reason = 'leaving'
@@ -144,17 +143,17 @@
             self._hub.send(member_peer, message)
         self.peers.broadcast(message)
 
-    # Messages.
+    # Incoming messages.
 
     def _handle_scheduler_message(self, message: messages.AnyMessage) -> None:
-        """Take an answer that came over a link to another scheduler."""
+        """Handle a reply received over a link to another scheduler."""
         if isinstance(message, messages.AliveReply):
             self._orphans.record_reply(message)
 
     def _handle_message(
         self, peer: bus.Peer, message: messages.AnyMessage
     ) -> None:
-        """Send a message to the part that it is for."""
+        """Dispatch a message to its component."""
 
         def send(answer: messages.AnyMessage) -> None:
             self._hub.send(peer, answer)
@@ -224,7 +223,7 @@
         query: messages.ClaimQuery,
         send: typing.Callable[[messages.AnyMessage], None],
     ) -> None:
-        """Pass a query on to the holder of a claim."""
+        """Forward a query to the holder of a claim."""
         state = None
         heartbeats = {h.member: h for h in self.peers.membership.heartbeats()}
         holder = heartbeats.get(query.holder)
@@ -251,7 +250,7 @@
             self._placement.waiting,
         )
 
-    # News.
+    # State changes.
 
     def _apply_vm_list(self, vm_list: vms.VmList) -> None:
         self._leaving.record_vm_list(
@@ -261,7 +260,7 @@
         self._refresh_placement()
 
     def _refresh_placement(self) -> None:
-        """Tell the placement what is owned and what leaves."""
+        """Update the placement's owned cells and leaving engines."""
         self._leaving.record_configuration(
             self.config.revision, self.config.drained_upstreams()
         )
@@ -275,7 +274,7 @@
         self._placement.put(refresh)
 
     def _apply_configuration(self) -> None:
-        """Work out the cells of a new configuration."""
+        """Compute the cells of a new configuration."""
         region = self.config.region_of(self.options.data_centre)
         if region is not None:
             self._cell_configs = cells.cell_configs(self.config.sites, region)
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Callers' HTTP: from a request to its answer.
+"""HTTP handlers for callers' requests.
 
-A handler checks a request, claims it if it may run only once, lets a
-course run it within its deadline, settles the claim, and answers. When a
-caller goes away its handler is cancelled, and with it the course, which
-frees the engines.
+A handler validates a request, claims its key if it is non-idempotent, executes
+it within its deadline, settles the claim, and responds. When a caller
+disconnects, its handler and the execution are cancelled, which releases the
+engines.
 """
 
 import asyncio
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReceivedRequest:
-    """A request with its body, whose caller and headers are checked."""
+    """A request with its body, authenticated caller and valid headers."""
 
     request: web.Request
     body: bytes
@@ -55,11 +55,11 @@
 
 
 class Serving:
-    """Handlers of one entry.
+    """HTTP handlers of one entry.
 
     Attributes:
-        in_flight: requests that have no answer yet.
-        closed: whether new requests are refused.
+        in_flight: number of requests without a response.
+        draining: whether new requests are refused.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
             [web.Request], typing.Awaitable[web.StreamResponse]
         ],
     ) -> web.StreamResponse:
-        """Turn every way a handler can fail into a typed answer."""
+        """Convert every exception of a handler into a typed error response."""
         no_id = ids.RequestId('')
         try:
             response = await handler(request)
@@ -122,7 +122,7 @@
         return await self._handle(request, self._run_model_request, True)
 
     async def _models(self, request: web.Request) -> web.StreamResponse:
-        """List the models for a known caller."""
+        """List the models for an authenticated caller."""
         no_id = ids.RequestId('')
         settings = self._config.own_config()
         if self.draining or settings is None:
@@ -143,7 +143,7 @@
         ],
         chat: bool,
     ) -> web.StreamResponse:
-        """Admit a request and count it while it is in flight."""
+        """Authenticate a request, count it as in flight, and handle it."""
         no_id = ids.RequestId('')
         settings = self._config.own_config()
         if self.draining or settings is None:
@@ -167,10 +167,10 @@
             self.in_flight -= 1
 
     def _unavailable(self, request: web.Request) -> errors.Failure:
-        """Return why no request is taken now.
+        """Return the failure for requests that cannot be served now.
 
-        Whether an earlier arrival of a key ran is not looked up, so a
-        request that may run only once is not told that it was not run.
+        Whether an earlier request with the same key ran is not looked up, so
+        the failure for a request with a key does not claim that it never ran.
         """
         reason = errors.LEAVING if self.draining else errors.NO_CONFIGURATION
         if inbound.IDEMPOTENCY_KEY in request.headers:
@@ -181,7 +181,7 @@
     async def _call_plain_service(
         self, received: ReceivedRequest, chat: bool
     ) -> web.StreamResponse:
-        """Route a call to a plain service."""
+        """Forward a call to a plain service."""
         return await self._plain_services.serve(
             received.request,
             received.body,
@@ -193,7 +193,7 @@
     async def _run_model_request(
         self, received: ReceivedRequest, chat: bool
     ) -> web.StreamResponse:
-        """Run a request for a model service."""
+        """Validate, claim and run a request for a model service."""
         request = received.request
         headers = received.headers
         model_request = inbound.read_model_request(
@@ -225,7 +225,7 @@
         model_request: inbound.ModelRequest,
         claimed: claimclient.Claimed | None,
     ) -> web.StreamResponse:
-        """Run a course within its deadline, settle its claim, answer."""
+        """Run a request within its deadline, settle its claim, and respond."""
         stream = (
             answers.StreamSink(request, model_request)
             if model_request.stream
@@ -274,7 +274,7 @@
         claimed: claimclient.Claimed | None,
         failure: errors.Failure | None,
     ) -> None:
-        """Store what a claimed request came to, or remove its claim."""
+        """Store the outcome of a claimed request, or remove its claim."""
         if claimed is None:
             return
         request = model_request.headers.request
@@ -328,7 +328,7 @@
     model_request: inbound.ModelRequest,
     answer: claim.Answer,
 ) -> web.StreamResponse:
-    """Give a stored answer again in the form that was asked for."""
+    """Send a stored answer in the requested form."""
     stored = (
         answers.decode_stored_completion(answer)
         if model_request.stream
