--- a/galenahatch/placing.py
+++ b/galenahatch/placementclient.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Placing requests: an entry's side of the talk with the owners of cells.
+"""Client of the cells' owners, used by entries to place requests.
 
-A request to place is sent again every second until it is answered, to the
-owner of that moment; the owner recognises it by its stream. So a lost
-message, a restarted owner or a change of owner delays a request and loses
-nothing.
+A placement request is resent every second until it is answered, each time to
+the current owner, which identifies repeats by their stream id. A lost message,
+a restarted owner or a change of owner therefore delays a request but does not
+lose it.
 """
 
 import asyncio
@@ -35,21 +35,21 @@
 from galenahatch import peers as peers_module
 from galenahatch import states
 
-_AGAIN: typing.Final = 1.0
-REPORT_EVERY: typing.Final = 8.0
-"""Seconds between complete reports of attempts."""
-_NO_SCHEDULER_WAIT: typing.Final = 0.1
-_RETRY_AFTER: typing.Final = 2.0
+_RESEND_INTERVAL_S: typing.Final = 1.0
+REPORT_INTERVAL_S: typing.Final = 8.0
+"""Seconds between complete reports of the attempts in flight."""
+_NO_SCHEDULER_DELAY_S: typing.Final = 0.1
+_RETRY_AFTER_S: typing.Final = 2.0
 _log = logs.Log('placing')
 
 
-class Placing:
-    """Requests that wait for a place, and attempts in flight.
+class PlacementClient:
+    """Pending placement requests and the attempts in flight.
 
     Args:
-        peers: schedulers.
-        settings: configuration in force.
-        data_centre: of this entry.
+        peers: links to the schedulers.
+        settings: distribution of the configuration.
+        data_centre: data centre of this entry.
     """
 
     def __init__(
@@ -62,23 +62,23 @@
         self._config = settings
         self._data_centre = data_centre
         self._cells: frozenset[ids.CellId] = frozenset()
-        self._waiting: dict[
+        self._pending: dict[
             ids.StreamId,
             asyncio.Future[messages.Placed | messages.GivenUp],
         ] = {}
         self._held: dict[ids.StreamId, messages.Held] = {}
         self._owners: dict[ids.StreamId, ids.MemberId] = {}
         self._watchers: dict[ids.StreamId, ids.MemberId | None] = {}
-        # When each scheduler had its last report, and who it was then.
-        self._reported: dict[ids.MemberId, tuple[int | None, float]] = {}
+        # Incarnation of each scheduler and time of its last report.
+        self._last_reports: dict[ids.MemberId, tuple[int | None, float]] = {}
 
     @property
-    def held(self) -> int:
-        """Attempts in flight."""
+    def in_flight(self) -> int:
+        """Number of attempts in flight."""
         return len(self._held)
 
-    def replan(self) -> None:
-        """Take a new configuration."""
+    def apply_configuration(self) -> None:
+        """Compute the cells of a new configuration."""
         region = self._config.region_of(self._data_centre)
         if region is not None:
             plans = cells.cell_configs(self._config.sites, region)
@@ -87,47 +87,49 @@
     async def place(
         self, request: messages.PlaceRequest
     ) -> messages.Placed | errors.Failure:
-        """Return the engines for an attempt, or why there are none."""
-        until = clock.now() + request.patience
+        """Request the engines for an attempt; return a failure if refused."""
+        give_up_at = clock.now() + request.first_token_timeout
         future: asyncio.Future[messages.Placed | messages.GivenUp]
         future = asyncio.get_running_loop().create_future()
-        self._waiting[request.stream] = future
+        self._pending[request.stream] = future
         try:
-            return await self._ask(request, future, until)
+            return await self._send_until_answered(request, future, give_up_at)
         except asyncio.CancelledError:
             self.release(messages.Release(request.stream, note='withdrawn'))
             raise
         finally:
-            self._waiting.pop(request.stream, None)
+            self._pending.pop(request.stream, None)
 
-    async def _ask(
+    async def _send_until_answered(
         self,
         request: messages.PlaceRequest,
         future: asyncio.Future[messages.Placed | messages.GivenUp],
-        until: float,
+        give_up_at: float,
     ) -> messages.Placed | errors.Failure:
         while True:
-            left = until - clock.now()
-            if left <= 0:
-                note = messages.Release(request.stream, note='no answer')
-                self.release(note)
+            remaining = give_up_at - clock.now()
+            if remaining <= 0:
+                release = messages.Release(request.stream, note='no answer')
+                self.release(release)
                 return errors.Failure(
-                    errors.NO_SCHEDULER, retry_after=_RETRY_AFTER
+                    errors.NO_SCHEDULER, retry_after=_RETRY_AFTER_S
                 )
             owner = self._owner_of_cell(self.cell_of(request))
             if owner is None:
-                await asyncio.sleep(min(left, _NO_SCHEDULER_WAIT))
+                await asyncio.sleep(min(remaining, _NO_SCHEDULER_DELAY_S))
                 continue
             self._owners[request.stream] = owner
-            fresh = msgspec.structs.replace(request, patience=left)
-            self._peers.send(owner, fresh)
-            # The owner gives up in time; its answer is waited for a little
-            # beyond that.
+            resent = msgspec.structs.replace(
+                request, first_token_timeout=remaining
+            )
+            self._peers.send(owner, resent)
+            # The owner refuses the request before its timeout; waiting for
+            # the whole interval leaves time for the reply to arrive.
             with contextlib.suppress(asyncio.TimeoutError):
-                async with asyncio.timeout(_AGAIN):
-                    return self._outcome(await asyncio.shield(future))
+                async with asyncio.timeout(_RESEND_INTERVAL_S):
+                    return self._apply_reply(await asyncio.shield(future))
 
-    def _outcome(
+    def _apply_reply(
         self, answer: messages.Placed | messages.GivenUp
     ) -> messages.Placed | errors.Failure:
         if isinstance(answer, messages.Placed):
@@ -135,52 +137,52 @@
         self._owners.pop(answer.stream, None)
         reason = errors.REASONS.get(answer.reason, errors.NO_ENGINE)
         return errors.Failure(
-            reason, answer.why, answer.retry_after, answer.ticket
+            reason, answer.explanation, answer.retry_after, answer.ticket
         )
 
-    def answered(self, answer: messages.Placed | messages.GivenUp) -> None:
-        """Take an owner's answer."""
-        future = self._waiting.get(answer.stream)
+    def handle_reply(self, answer: messages.Placed | messages.GivenUp) -> None:
+        """Handle an owner's reply."""
+        future = self._pending.get(answer.stream)
         if future is not None and not future.done():
             future.set_result(answer)
         elif answer.stream not in self._held:
             if isinstance(answer, messages.Placed):
-                note = messages.Release(answer.stream, note='late answer')
-                self._peers.broadcast(note)
+                release = messages.Release(answer.stream, note='late answer')
+                self._peers.broadcast(release)
 
-    def hold(self, held: messages.Held) -> None:
-        """Note an attempt before its work is sent, and tell watchers."""
+    def record_attempt(self, held: messages.Held) -> None:
+        """Record an attempt and notify its watcher before work is sent."""
         self._held[held.stream] = held
         message = messages.Watch(
             self._peers.member, self._peers.incarnation, held
         )
-        # The owner knows of the attempt, since it placed it.
-        watcher = self._watcher(self._owners.get(held.stream))
+        # The owner placed the attempt, so only the watcher is notified.
+        watcher = self._choose_watcher(self._owners.get(held.stream))
         self._watchers[held.stream] = watcher
         if watcher is not None:
             self._peers.send(watcher, message)
 
-    def progress(
+    def report_progress(
         self,
         stream: ids.StreamId,
         stage: states.Stage,
         cached_tokens: int,
         seconds: float,
     ) -> None:
-        """Tell the owner how far an attempt is."""
+        """Report to the owner that an attempt entered a stage."""
         held = self._held.get(stream)
         if held is None:
             return
         self._held[stream] = msgspec.structs.replace(held, stage=stage)
         owner = self._owners.get(stream)
         if owner is not None:
-            news = messages.Progress(
+            progress = messages.Progress(
                 stream, stage, cached_tokens, held.prompt_tokens, seconds
             )
-            self._peers.send(owner, news)
+            self._peers.send(owner, progress)
 
     def release(self, release: messages.Release) -> None:
-        """Tell owner and watcher that an attempt holds nothing more."""
+        """Tell owner and watcher that an attempt holds no resources."""
         stream = release.stream
         owner = self._owners.pop(stream, None)
         self._held.pop(stream, None)
@@ -191,29 +193,34 @@
         if watcher is not None and watcher != owner:
             self._peers.send(watcher, unwatch)
 
-    def report(self) -> None:
-        """Tell owners and watchers of all attempts in flight, if due.
+    def send_reports(self) -> None:
+        """Send complete reports of the attempts in flight that are due.
 
-        Called with each heartbeat. Single messages tell of each change, so
-        a complete report only repairs what was lost: it is sent now and
-        then, and at once to a scheduler that is new, restarted, or takes
-        attempts over from one that is gone.
+        Called with each heartbeat. Each change has a message of its own, so a
+        complete report only repairs losses. It is sent periodically, and at
+        once to a scheduler that is new, restarted, or takes over attempts from
+        one that is gone.
         """
         now = clock.now()
         live = set(self._peers.schedulers())
         changed = self._reassign(live)
         for member in live:
             incarnation = self._peers.membership.incarnation_of(member)
-            known, at = self._reported.get(member, (None, -REPORT_EVERY))
-            due = now - at >= REPORT_EVERY or known != incarnation
+            reported_incarnation, at = self._last_reports.get(
+                member, (None, -REPORT_INTERVAL_S)
+            )
+            due = (
+                now - at >= REPORT_INTERVAL_S
+                or reported_incarnation != incarnation
+            )
             if due or member in changed:
-                self._reported[member] = (incarnation, now)
+                self._last_reports[member] = (incarnation, now)
                 self._send_report(member)
-        for member in self._reported.keys() - live:
-            del self._reported[member]
+        for member in self._last_reports.keys() - live:
+            del self._last_reports[member]
 
     def _reassign(self, live: set[ids.MemberId]) -> set[ids.MemberId]:
-        """Move attempts of schedulers that are gone; return the new ones."""
+        """Reassign attempts of gone schedulers; return the new schedulers."""
         changed = set()
         for stream, held in self._held.items():
             if self._owners.get(stream) not in live:
@@ -222,7 +229,7 @@
                     self._owners[stream] = owner
                     changed.add(owner)
             if self._watchers.get(stream) not in live:
-                watcher = self._watcher(self._owners.get(stream))
+                watcher = self._choose_watcher(self._owners.get(stream))
                 self._watchers[stream] = watcher
                 if watcher is not None:
                     changed.add(watcher)
@@ -233,7 +240,7 @@
         report = messages.HeldReport(
             entry=self._peers.member,
             incarnation=self._peers.incarnation,
-            held=tuple(
+            owned=tuple(
                 h for h in held if self._owners.get(h.stream) == member
             ),
             watched=tuple(
@@ -246,7 +253,7 @@
         self._peers.send(member, report)
 
     def cell_of(self, request: messages.PlaceRequest) -> ids.CellId | None:
-        """Return the cell of a request; None if its service has none."""
+        """Return the cell of a request; None if there is none."""
         region = self._config.region_of(self._data_centre)
         if region is None:
             return None
@@ -263,10 +270,12 @@
             return None
         return rendezvous.winner(cell, self._peers.schedulers())
 
-    def _watcher(self, owner: ids.MemberId | None) -> ids.MemberId | None:
-        """Return a second scheduler, if possible not on this VM."""
+    def _choose_watcher(
+        self, owner: ids.MemberId | None
+    ) -> ids.MemberId | None:
+        """Return a scheduler besides the owner, preferably on another VM."""
         ranked = rendezvous.rank(self._peers.member, self._peers.schedulers())
         others = [member for member in ranked if member != owner]
-        own = self._peers.member.partition('/')[2].rpartition(':')[0]
-        far = [m for m in others if f'/{own}:' not in m]
-        return next(iter(far or others), None)
+        own_address = self._peers.member.partition('/')[2].rpartition(':')[0]
+        remote = [m for m in others if f'/{own_address}:' not in m]
+        return next(iter(remote or others), None)
