--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -167,7 +167,7 @@
             avoid=tuple(self._avoid),
             is_resumed=self._relay.has_reached_caller,
             is_prefilled=bool(self._prefill.kv_source()),
-            longest_pause=self._route.max_event_gap,
+            max_pause=self._route.max_event_gap,
             attempt=attempt,
             extra_sends=self._prefill.extra_sends() + (self._decode_sends > 0),
             is_suspect=self._context.guard.is_suspect(self._call),
--- a/galenahatch/gateway/messages.py
+++ b/galenahatch/gateway/messages.py
@@ -166,8 +166,8 @@
         is_prefilled: Whether a prefill engine holds the prompt's KV cache.
         first_event_within: Seconds until the first event must be generated.
         end_within: Seconds until the answer must be complete.
-        leave_within: Seconds until a caller without a first event gives up.
-        longest_pause: Most seconds allowed between two events.
+        abandon_within: Seconds until a caller without a first event gives up.
+        max_pause: Most seconds allowed between two events.
         attempt: Number of this attempt of the request, from 1.
         extra_sends: Sends beyond the first that will be made if it is placed.
         is_suspect: Whether an engine recently ended while processing it.
@@ -190,8 +190,8 @@
     avoid: tuple[ids.UpstreamId, ...] = ()
     is_continuation: bool = False
     is_prefilled: bool = False
-    leave_within: float = 3.0
-    longest_pause: float = 0.0
+    abandon_within: float = 3.0
+    max_pause: float = 0.0
     attempt: int = 1
     extra_sends: int = 0
     is_suspect: bool = False
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -108,7 +108,7 @@
         """Handle a message from a gateway, which may be this one."""
         now = clock.now()
         if isinstance(message, messages.PlacementRequest):
-            self._handle_place(member, message, now)
+            self._handle_request(member, message, now)
         elif isinstance(message, messages.Heartbeat):
             self._budget.record_heartbeat(member, now)
             self._handle_running(message, now)
@@ -168,31 +168,31 @@
                 dispatcher.withdraw(stream)
         self._reply_functions.clear()
 
-    def _handle_place(
+    def _handle_request(
         self,
         member: ids.MemberId,
-        place: messages.PlacementRequest,
+        request: messages.PlacementRequest,
         now: float,
     ) -> None:
 
         def reply(message: OwnerReply) -> None:
             self._deliver(member, message)
 
-        dispatcher = self._dispatcher(place.service)
+        dispatcher = self._dispatcher(request.service)
         if dispatcher is None:
-            reply(messages.PlacementRefused(place.stream, 1.0, 'no_service'))
+            reply(messages.PlacementRefused(request.stream, 1.0, 'no_service'))
             return
-        denied = self._accounts.grant(place.customer, place.units)
+        denied = self._accounts.grant(request.customer, request.units)
         if denied is not None:
-            reply(_refuse_over_quota(member, place, denied))
+            reply(_refuse_over_quota(member, request, denied))
             return
-        if place.attempt == 1:
-            self._budget.record_request(place.service, now)
-        if not self._budget.grant(place.service, place.extra_sends, now):
-            reply(_refuse_without_budget(member, place))
+        if request.attempt == 1:
+            self._budget.record_request(request.service, now)
+        if not self._budget.grant(request.service, request.extra_sends, now):
+            reply(_refuse_without_budget(member, request))
             return
-        job = _create_job(member, place, now)
-        self._reply_functions[place.stream] = reply
+        job = _create_job(member, request, now)
+        self._reply_functions[request.stream] = reply
         decision = dispatcher.submit(job, now)
         if decision is not None:
             self._send_decision(decision)
@@ -200,8 +200,8 @@
         if dispatcher.waiting_count == 1:
             for decision in dispatcher.decide(now):
                 self._send_decision(decision)
-        if place.stream in self._reply_functions:
-            reply(messages.Queued(place.stream))
+        if request.stream in self._reply_functions:
+            reply(messages.Queued(request.stream))
 
     def _handle_running(self, beat: messages.Heartbeat, now: float) -> None:
         runs_by_service: dict[
@@ -355,25 +355,27 @@
 
 
 def _refuse_without_budget(
-    member: ids.MemberId, place: messages.PlacementRequest
+    member: ids.MemberId, request: messages.PlacementRequest
 ) -> messages.PlacementRefused:
     """Refuse a retry before any prefill is done for it."""
     why = 'retry budget spent'
     instruments.decisions.add(1, {'outcome': 'refused'})
     _log.info(
         'Refused.',
-        stream=place.stream,
+        stream=request.stream,
         member=member,
         retry_after=_REFUSAL_RETRY_AFTER_S,
         why=why,
-        sends=place.extra_sends,
+        sends=request.extra_sends,
+    )
+    return messages.PlacementRefused(
+        request.stream, _REFUSAL_RETRY_AFTER_S, why
     )
-    return messages.PlacementRefused(place.stream, _REFUSAL_RETRY_AFTER_S, why)
 
 
 def _refuse_over_quota(
     member: ids.MemberId,
-    place: messages.PlacementRequest,
+    request: messages.PlacementRequest,
     denied: quotas.Denied,
 ) -> messages.PlacementRefused:
     """Refuse a request whose customer is over quota."""
@@ -381,42 +383,43 @@
     instruments.decisions.add(1, {'outcome': 'over_quota'})
     _log.info(
         'Refused.',
-        stream=place.stream,
+        stream=request.stream,
         member=member,
-        customer=place.customer,
+        customer=request.customer,
         retry_after=retry_after,
         why=denied.why,
     )
     return messages.PlacementRefused(
-        place.stream, retry_after, denied.why, True
+        request.stream, retry_after, denied.why, True
     )
 
 
 def _create_job(
-    member: ids.MemberId, place: messages.PlacementRequest, now: float
+    member: ids.MemberId, request: messages.PlacementRequest, now: float
 ) -> generations.Job:
     """Return the job for a placement request, in the owner's clock time."""
     return generations.Job(
-        stream=place.stream,
+        stream=request.stream,
         entry=member,
-        prompt_tokens=place.prompt_tokens,
-        output_hint=place.length_hint,
-        max_output=place.max_tokens,
+        prompt_tokens=request.prompt_tokens,
+        output_hint=request.length_hint,
+        max_output=request.max_tokens,
         arrived_at=now,
-        start_deadline=now + place.first_event_within,
-        abandon_at=now + place.leave_within,
-        deadline=now + place.end_within,
-        fingerprint=place.subject,
-        data_centre=place.data_centre,
-        avoid=frozenset(place.avoid),
-        is_continuation=place.is_continuation,
-        is_prefilled=place.is_prefilled,
-        max_pause=place.longest_pause,
-        is_suspect=place.is_suspect,
-        customer=place.customer,
-        units=place.units,
-        priority=place.priority,
+        start_deadline=now + request.first_event_within,
+        abandon_at=now + request.abandon_within,
+        deadline=now + request.end_within,
+        fingerprint=request.subject,
+        data_centre=request.data_centre,
+        avoid=frozenset(request.avoid),
+        is_continuation=request.is_continuation,
+        is_prefilled=request.is_prefilled,
+        max_pause=request.max_pause,
+        is_suspect=request.is_suspect,
+        customer=request.customer,
+        units=request.units,
+        priority=request.priority,
         paused_until={
-            pause.upstream: now + pause.seconds_left for pause in place.pauses
+            pause.upstream: now + pause.seconds_left
+            for pause in request.pauses
         },
     )
--- a/galenahatch/gateway/owner_client.py
+++ b/galenahatch/gateway/owner_client.py
@@ -72,7 +72,7 @@
     avoid: tuple[ids.UpstreamId, ...] = ()
     is_resumed: bool = False
     is_prefilled: bool = False
-    longest_pause: float = 0.0
+    max_pause: float = 0.0
     attempt: int = 1
     extra_sends: int = 0
     is_suspect: bool = False
@@ -197,8 +197,8 @@
             avoid=request.avoid,
             is_continuation=request.is_resumed,
             is_prefilled=request.is_prefilled,
-            leave_within=request.abandon_at - now,
-            longest_pause=request.longest_pause,
+            abandon_within=request.abandon_at - now,
+            max_pause=request.max_pause,
             attempt=request.attempt,
             extra_sends=request.extra_sends,
             is_suspect=request.is_suspect,
