--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -148,7 +148,7 @@
         return await self._read(stream)
 
     async def _prefill(self) -> errors.Failure | None:
-        call = engine_client.PrefillCall(
+        call = engine_client.PrefillRequest(
             stream=self._stream,
             prompt=self._asked.prompt,
             generated=tuple(self._assembly.tokens),
@@ -179,7 +179,7 @@
         self,
     ) -> engine_client.Stream | errors.Failure:
         """Begin to decode; wait for a place until the result is evicted."""
-        call = engine_client.DecodeCall(
+        call = engine_client.DecodeRequest(
             stream=self._stream,
             source=cancelling.url_of(self._prefill_engine),
             max_tokens=self._asked.max_tokens,
--- a/galenahatch/cancelling.py
+++ b/galenahatch/cancelling.py
@@ -116,14 +116,14 @@
         absent = 0
         while absent < ABSENT_TRIES:
             engine = self._find(name)
-            result = engine_client.Cancelled.ABSENT
+            result = engine_client.CancelOutcome.ABSENT
             if engine is not None:
                 result = await engine_client.cancel(
                     self._client, url_of(engine), stream
                 )
-            if result is engine_client.Cancelled.CONFIRMED:
+            if result is engine_client.CancelOutcome.CONFIRMED:
                 return
-            is_absent = result is engine_client.Cancelled.ABSENT
+            is_absent = result is engine_client.CancelOutcome.ABSENT
             absent = absent + 1 if is_absent else 0
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -149,7 +149,7 @@
     async def _order(
         self, engine: schema.Engine, send: orders.PlannedOrder
     ) -> None:
-        failure = await engine_client.order(
+        failure = await engine_client.send_order(
             self.engines,
             cancelling.url_of(engine),
             send.order,
@@ -180,7 +180,7 @@
         self, engine: schema.Engine
     ) -> orders.Order | errors.Failure:
         async with self._slots:
-            return await engine_client.running(
+            return await engine_client.fetch_order(
                 self.engines, cancelling.url_of(engine)
             )
 
--- a/galenahatch/gateway/sender.py
+++ b/galenahatch/gateway/sender.py
@@ -207,7 +207,7 @@
                 if len(data) > MAX_RESPONSE_BYTES:
                     self.close()
                     return None
-        except http.ERRORS:
+        except http.CLIENT_ERRORS:
             self.close()
             return None
         except BaseException:
@@ -226,7 +226,7 @@
                 return await self._response.content.readany()
         except asyncio.TimeoutError:
             return FailedSend(fate.Fate.UNCERTAIN, 'silent')
-        except http.ERRORS as error:
+        except http.CLIENT_ERRORS as error:
             detail = f'{type(error).__name__} {error}'
             return FailedSend(fate.Fate.UNCERTAIN, detail, is_disconnect=True)
 
@@ -293,7 +293,7 @@
             return FailedSend(fate.Fate.NOT_SENT, repr(error))
         except asyncio.TimeoutError:
             return FailedSend(fate.Fate.UNCERTAIN, 'no answer')
-        except http.ERRORS as error:
+        except http.CLIENT_ERRORS as error:
             return FailedSend(
                 fate.Fate.UNCERTAIN, repr(error), is_disconnect=True
             )
@@ -363,7 +363,7 @@
                 ) as response,
             ):
                 return response.status, await response.read()
-        except http.ERRORS as error:
+        except http.CLIENT_ERRORS as error:
             return errors.Failure(errors.UPSTREAM_UNREACHABLE, repr(error))
 
 
@@ -380,7 +380,7 @@
 def _create_session(pooled: bool) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=_Connector(pooled),
-        timeout=http.NO_LIMIT,
+        timeout=http.NO_TIMEOUT,
         auto_decompress=False,
         cookie_jar=aiohttp.DummyCookieJar(),
         middlewares=(http.send_once,),
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -59,7 +59,7 @@
 
     async def _read_one(self, engine: schema.Engine) -> None:
         async with self._slots:
-            load = await engine_client.load(
+            load = await engine_client.fetch_load(
                 self._client,
                 cancelling.url_of(engine),
                 self._since.get(engine.name, -1),
--- a/galenahatch/test/standin/engine.py
+++ b/galenahatch/test/standin/engine.py
@@ -60,7 +60,7 @@
     async def prefill(self, request: web.Request) -> web.StreamResponse:
         """Run a prefill."""
         call = msgspec.json.decode(
-            await request.read(), type=client.PrefillCall
+            await request.read(), type=client.PrefillRequest
         )
         if self._fails('refuse'):
             return refusal(503, False, 'refused')
@@ -86,7 +86,7 @@
             )
         except model.Evicted:
             return refusal(410, False, 'cancelled')
-        return peer.answer(client.PrefillDone(tokens, cached))
+        return peer.answer(client.PrefillResult(tokens, cached))
 
     async def export(self, request: web.Request) -> web.StreamResponse:
         """Hand out a KV cache."""
@@ -99,7 +99,7 @@
     async def decode(self, request: web.Request) -> web.StreamResponse:
         """Import a KV cache and stream tokens."""
         call = msgspec.json.decode(
-            await request.read(), type=client.DecodeCall
+            await request.read(), type=client.DecodeRequest
         )
         if self._fails('refuse_decode'):
             return refusal(503, False, 'refused')
@@ -140,7 +140,7 @@
         since = int(request.query.get('since', -1))
         shown_until = self.engine.now() - self.engine.params.event_delay
         events = tuple(
-            client.Stored(number, blocks, evicted)
+            client.CacheEvent(number, blocks, evicted)
             for number, (at, blocks, evicted) in enumerate(self.engine.events)
             if number > since and at <= shown_until
         )
@@ -199,7 +199,7 @@
         return bool(left)
 
     async def _import(
-        self, request: web.Request, call: client.DecodeCall
+        self, request: web.Request, call: client.DecodeRequest
     ) -> model.Kv | None:
         await asyncio.sleep(self.faults.get('stall_transfer', 0))
         url = f'{call.source}/export/{call.stream}'
@@ -279,7 +279,7 @@
 
 def refusal(status: int, started: bool, why: str) -> web.Response:
     """Return an error answer."""
-    body = client.Refusal(started, why)
+    body = client.ErrorBody(started, why)
     return web.Response(status=status, body=msgspec.json.encode(body))
 
 
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -138,7 +138,7 @@
     )
     name = ids.EngineName('p1')
     for incarnation, numbers, block in ((1, range(5), 7), (2, range(2), 8)):
-        events = tuple(engine.Stored(n, (block,)) for n in numbers)
+        events = tuple(engine.CacheEvent(n, (block,)) for n in numbers)
         load = engine.Load(incarnation, 1, False, 0, 0.0, events)
         owner.tell(news.EngineReport(name, load))
     running = asyncio.create_task(owner.run())
--- a/galenahatch/upstream/engine.py
+++ b/galenahatch/upstream/engine.py
@@ -38,7 +38,7 @@
 _STALE: typing.Final = 409
 
 
-class PrefillCall(msgspec.Struct, frozen=True):
+class PrefillRequest(msgspec.Struct, frozen=True):
     """Work for a prefill engine.
 
     Attributes:
@@ -54,7 +54,7 @@
     priority: int
 
 
-class PrefillDone(msgspec.Struct, frozen=True):
+class PrefillResult(msgspec.Struct, frozen=True):
     """Result of a prefill.
 
     Attributes:
@@ -66,7 +66,7 @@
     cached_tokens: int
 
 
-class DecodeCall(msgspec.Struct, frozen=True):
+class DecodeRequest(msgspec.Struct, frozen=True):
     """Work for a decode engine.
 
     Attributes:
@@ -98,7 +98,7 @@
     finish: str = ''
 
 
-class Stored(msgspec.Struct, frozen=True):
+class CacheEvent(msgspec.Struct, frozen=True):
     """A cache event: prefix blocks stored or evicted."""
 
     number: int
@@ -123,33 +123,33 @@
     leaving: bool
     held: int
     seconds_per_token: float
-    events: tuple[Stored, ...] = ()
+    events: tuple[CacheEvent, ...] = ()
 
 
-class Refusal(msgspec.Struct, frozen=True):
+class ErrorBody(msgspec.Struct, frozen=True):
     """Body of an error answer; `started` tells whether work began."""
 
     started: bool = True
     why: str = ''
 
 
-_DONE: typing.Final = msgspec.json.Decoder(PrefillDone)
+_DONE: typing.Final = msgspec.json.Decoder(PrefillResult)
 _EVENT: typing.Final = msgspec.json.Decoder(Event)
 _LOAD: typing.Final = msgspec.json.Decoder(Load)
-_REFUSAL: typing.Final = msgspec.json.Decoder(Refusal)
+_REFUSAL: typing.Final = msgspec.json.Decoder(ErrorBody)
 _ORDER: typing.Final = msgspec.json.Decoder(orders.Order)
 
 
 async def prefill(
-    client: aiohttp.ClientSession, url: str, call: PrefillCall
-) -> PrefillDone | errors.Failure:
+    client: aiohttp.ClientSession, url: str, call: PrefillRequest
+) -> PrefillResult | errors.Failure:
     """Run a prefill; its result is kept for a short time."""
     body = msgspec.json.encode(call)
     try:
         async with client.post(f'{url}/prefill', data=body) as response:
             data = await http.read_all(response, MAX_LINE_BYTES)
-    except http.ERRORS as error:
-        return http.failure_of(error)
+    except http.CLIENT_ERRORS as error:
+        return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     if response.status != 200:
@@ -160,7 +160,7 @@
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
 
-class Cancelled(enum.Enum):
+class CancelOutcome(enum.Enum):
     """What came of a cancel.
 
     An absent engine refuses connections: its process, and so its memory,
@@ -174,7 +174,7 @@
 
 async def cancel(
     client: aiohttp.ClientSession, url: str, stream: ids.StreamId
-) -> Cancelled:
+) -> CancelOutcome:
     """Free a stream; confirmed once the engine says that it has none."""
     try:
         async with client.delete(
@@ -183,15 +183,15 @@
             await http.read_all(response, MAX_LINE_BYTES)
     except aiohttp.ClientConnectorError as error:
         refused = isinstance(error.os_error, ConnectionRefusedError)
-        return Cancelled.ABSENT if refused else Cancelled.FAILED
-    except http.ERRORS:
-        return Cancelled.FAILED
+        return CancelOutcome.ABSENT if refused else CancelOutcome.FAILED
+    except http.CLIENT_ERRORS:
+        return CancelOutcome.FAILED
     if response.status in (200, 404):
-        return Cancelled.CONFIRMED
-    return Cancelled.FAILED
+        return CancelOutcome.CONFIRMED
+    return CancelOutcome.FAILED
 
 
-async def load(
+async def fetch_load(
     client: aiohttp.ClientSession, url: str, since: int
 ) -> Load | errors.Failure:
     """Return a load report with the cache events after a number."""
@@ -200,8 +200,8 @@
             f'{url}/load?since={since}', timeout=_SHORT
         ) as response:
             data = await http.read_all(response)
-    except http.ERRORS as error:
-        return http.failure_of(error)
+    except http.CLIENT_ERRORS as error:
+        return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     try:
@@ -210,15 +210,15 @@
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
 
-async def running(
+async def fetch_order(
     client: aiohttp.ClientSession, url: str
 ) -> orders.Order | errors.Failure:
     """Return what an engine runs."""
     try:
         async with client.get(f'{url}/order', timeout=_SHORT) as response:
             data = await http.read_all(response, MAX_LINE_BYTES)
-    except http.ERRORS as error:
-        return http.failure_of(error)
+    except http.CLIENT_ERRORS as error:
+        return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     try:
@@ -227,7 +227,7 @@
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
 
-async def order(
+async def send_order(
     client: aiohttp.ClientSession,
     url: str,
     wanted: orders.Order,
@@ -240,8 +240,8 @@
             f'{url}/order', data=body, timeout=_SHORT
         ) as response:
             data = await http.read_all(response, MAX_LINE_BYTES)
-    except http.ERRORS as error:
-        return http.failure_of(error)
+    except http.CLIENT_ERRORS as error:
+        return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     if response.status == _STALE:
@@ -267,7 +267,7 @@
         while True:
             try:
                 chunk = await self._response.content.readany()
-            except http.ERRORS as error:
+            except http.CLIENT_ERRORS as error:
                 detail = f'{type(error).__name__} {error}'
                 return errors.Failure(errors.STREAM_BROKEN, detail)
             if not chunk:
@@ -292,7 +292,7 @@
 
 
 async def decode(
-    client: aiohttp.ClientSession, url: str, call: DecodeCall
+    client: aiohttp.ClientSession, url: str, call: DecodeRequest
 ) -> Stream | errors.Failure:
     """Import the KV cache and begin to generate."""
     body = msgspec.json.encode(call)
@@ -323,8 +323,8 @@
             return Stream(response)
         async with response:
             data = await http.read_all(response, MAX_LINE_BYTES)
-    except http.ERRORS as error:
-        return http.failure_of(error)
+    except http.CLIENT_ERRORS as error:
+        return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     return _refused(response.status, data)
@@ -337,7 +337,7 @@
     try:
         refusal = _REFUSAL.decode(data)
     except msgspec.MsgspecError:
-        refusal = Refusal()
+        refusal = ErrorBody()
     detail = f'status {status} {refusal.why}'
     if status == _EVICTED:
         return errors.Failure(errors.STREAM_GONE, detail)
--- a/galenahatch/upstream/http.py
+++ b/galenahatch/upstream/http.py
@@ -30,9 +30,13 @@
 from galenahatch import errors
 from galenahatch import timeouts
 
-ERRORS: typing.Final = (aiohttp.ClientError, asyncio.TimeoutError, OSError)
-NO_LIMIT: typing.Final = aiohttp.ClientTimeout(total=None)
-MAX_ANSWER_BYTES: typing.Final = 8 * 1024 * 1024
+CLIENT_ERRORS: typing.Final = (
+    aiohttp.ClientError,
+    asyncio.TimeoutError,
+    OSError,
+)
+NO_TIMEOUT: typing.Final = aiohttp.ClientTimeout(total=None)
+MAX_BODY_BYTES: typing.Final = 8 * 1024 * 1024
 _LIBRARY_NOT_CONNECTED: typing.Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
@@ -43,7 +47,7 @@
     """No connection was made: no byte was sent."""
 
 
-class BrokenSendError(aiohttp.ClientError):
+class ConnectionLostError(aiohttp.ClientError):
     """The connection broke when something may have been sent."""
 
 
@@ -61,7 +65,7 @@
     except _LIBRARY_NOT_CONNECTED as error:
         raise NotConnectedError(str(error)) from error
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
-        raise BrokenSendError(str(error)) from error
+        raise ConnectionLostError(str(error)) from error
 
 
 NOT_CONNECTED: typing.Final = (NotConnectedError, *_LIBRARY_NOT_CONNECTED)
@@ -85,7 +89,7 @@
         """
         async with timeouts.limit(timeout.sock_connect):
             return await super()._wrap_create_connection(
-                *args, timeout=NO_LIMIT, **options
+                *args, timeout=NO_TIMEOUT, **options
             )
 
 
@@ -111,7 +115,7 @@
     )
 
 
-def failure_of(error: BaseException) -> errors.Failure:
+def send_failure(error: BaseException) -> errors.Failure:
     """Return what is known after an exception of a send."""
     detail = f'{type(error).__name__} {error}'
     if isinstance(error, NOT_CONNECTED):
@@ -120,7 +124,7 @@
 
 
 async def read_all(
-    response: aiohttp.ClientResponse, limit: int = MAX_ANSWER_BYTES
+    response: aiohttp.ClientResponse, limit: int = MAX_BODY_BYTES
 ) -> bytes | errors.Failure:
     """Return a whole body, or BAD_UPSTREAM if it is over the limit."""
     data = bytearray()
--- a/galenahatch/upstream/service.py
+++ b/galenahatch/upstream/service.py
@@ -88,8 +88,8 @@
             allow_redirects=False,
         ) as response:
             data = await http.read_all(response)
-    except http.ERRORS as error:
-        return http.failure_of(error)
+    except http.CLIENT_ERRORS as error:
+        return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     if response.status == _REFUSED and _not_started(data):
