--- a/galenahatch/application.py
+++ b/galenahatch/application.py
@@ -78,8 +78,8 @@
             options.connect_timeout, options.idle_timeout
         )
         self.table = table.Table(client, options.table_url)
-        self.objects = objects.Objects(client, options.objects_url)
-        self.vms = vms.Vms(client, options.vms_url)
+        self.objects = objects.ObjectStore(client, options.objects_url)
+        self.vms = vms.VmListClient(client, options.vms_url)
         self.config = distribution.Distribution(
             options, self.table, self.objects, self.tasks
         )
--- a/galenahatch/changes.py
+++ b/galenahatch/changes.py
@@ -44,7 +44,9 @@
         stored: the object store.
     """
 
-    def __init__(self, tables: table.Table, stored: objects.Objects) -> None:
+    def __init__(
+        self, tables: table.Table, stored: objects.ObjectStore
+    ) -> None:
         self._table = tables
         self._objects = stored
 
--- a/galenahatch/claiming.py
+++ b/galenahatch/claiming.py
@@ -80,7 +80,7 @@
     def __init__(
         self,
         peers: peers_module.Peers,
-        stored: objects.Objects,
+        stored: objects.ObjectStore,
         owner: tasks.Tasks,
         timeout: float,
     ) -> None:
--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -56,9 +56,9 @@
         self.options = options
         self.changes = changes_module.Changes(
             table.Table(client, options.table_url),
-            objects.Objects(client, options.objects_url),
+            objects.ObjectStore(client, options.objects_url),
         )
-        self.vms = vms.Vms(client, options.vms_url)
+        self.vms = vms.VmListClient(client, options.vms_url)
 
     async def schedulers(self) -> list[str]:
         """Return the IP numbers of VMs that may run a scheduler."""
@@ -66,7 +66,7 @@
         addresses = set(self.options.peers)
         if not isinstance(listed, errors.Failure):
             addresses.update(
-                vm.address for vm in listed.vms if vm.group == vms.SYSTEM
+                vm.address for vm in listed.vms if vm.group == vms.SYSTEM_GROUP
             )
         return sorted(addresses)
 
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -55,7 +55,7 @@
         self,
         options: options_module.Options,
         tables: table.Table,
-        stored: objects.Objects,
+        stored: objects.ObjectStore,
         owner: tasks.Tasks,
     ) -> None:
         self._options = options
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -59,7 +59,7 @@
         options: options_module.Options,
         role: states.Role,
         in_force: distribution.Distribution,
-        platform: vms.Vms,
+        platform: vms.VmListClient,
         handler: Handler,
     ) -> None:
         self._options = options
@@ -165,7 +165,7 @@
         listed = await self._vms.read()
         if isinstance(listed, errors.Failure):
             return
-        system = [vm for vm in listed.vms if vm.group == vms.SYSTEM]
+        system = [vm for vm in listed.vms if vm.group == vms.SYSTEM_GROUP]
         self.membership.record_vm_list(
             (vm.address for vm in system if vm.state == 'live'),
             (vm.address for vm in system if vm.state != 'live'),
--- a/galenahatch/platform/http.py
+++ b/galenahatch/platform/http.py
@@ -20,7 +20,7 @@
 
 from galenahatch import errors
 
-TIMEOUT: typing.Final = 2.0
+TIMEOUT_S: typing.Final = 2.0
 MAX_BODY_BYTES: typing.Final = 64 * 1024 * 1024
 
 
@@ -40,7 +40,7 @@
     headers = {'Authorization': f'Bearer {token}'} if token else {}
     return aiohttp.ClientSession(
         headers=headers,
-        timeout=aiohttp.ClientTimeout(total=TIMEOUT),
+        timeout=aiohttp.ClientTimeout(total=TIMEOUT_S),
     )
 
 
--- a/galenahatch/platform/objects.py
+++ b/galenahatch/platform/objects.py
@@ -22,7 +22,7 @@
 from galenahatch.platform import http
 
 
-class Objects:
+class ObjectStore:
     """The object store behind a base URL.
 
     Args:
--- a/galenahatch/platform/vms.py
+++ b/galenahatch/platform/vms.py
@@ -20,7 +20,7 @@
 from galenahatch import errors
 from galenahatch.platform import http
 
-SYSTEM: typing.Final = 'system'
+SYSTEM_GROUP: typing.Final = 'system'
 
 
 class Vm(msgspec.Struct, frozen=True):
@@ -38,7 +38,7 @@
     address: str
     data_centre: str
     state: str = 'live'
-    group: str = SYSTEM
+    group: str = SYSTEM_GROUP
 
 
 class VmList(msgspec.Struct, frozen=True):
@@ -51,7 +51,7 @@
 _DECODER: typing.Final = msgspec.json.Decoder(VmList)
 
 
-class Vms:
+class VmListClient:
     """The VM list behind a base URL.
 
     Args:
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -83,7 +83,7 @@
     settings = distribution.Distribution(
         options.Options(data_centre=_CENTRE),
         table.Table(None, ''),  # type: ignore[arg-type]
-        objects.Objects(None, ''),  # type: ignore[arg-type]
+        objects.ObjectStore(None, ''),  # type: ignore[arg-type]
         tasks.Tasks(),
     )
     settings.in_force.apply_if_newer(accepted, config.load(accepted.bundle))
