--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -206,7 +206,7 @@
                 self._apply_document(row.value, 'store')
 
     def _apply_document(self, document: bytes, source: str) -> None:
-        config = documents.configuration(document)
+        config = documents.decode_configuration(document)
         if isinstance(config, errors.Failure):
             _log.error(
                 'Ignored an invalid configuration.',
--- a/galenahatch/gateway/entries.py
+++ b/galenahatch/gateway/entries.py
@@ -258,7 +258,7 @@
 
     def _decode_usable(self, row: stores.Row) -> upstreams.Upstream | None:
         """Return the upstream of an entry, or None if it is not usable."""
-        entry = documents.upstream(row.key, row.value)
+        entry = documents.decode_upstream(row.key, row.value)
         if not isinstance(entry, errors.Failure):
             self._unusable.pop(row.key, None)
             return entry
--- a/galenahatch/gateway/frontend.py
+++ b/galenahatch/gateway/frontend.py
@@ -179,7 +179,7 @@
             body = await self._read_body(request)
             if isinstance(body, errors.Failure):
                 return self._error_response(body, '')
-            call = wire.call(
+            call = wire.decode_call(
                 request.method,
                 request.raw_path,
                 request.raw_headers,
@@ -236,7 +236,7 @@
         )
         if isinstance(customer, errors.Failure):
             return customer
-        return wire.identified(call, customer)
+        return wire.with_customer(call, customer)
 
     async def _dispatch(
         self, request: web.BaseRequest, call: calls.Call, route: routes.Route
@@ -363,7 +363,7 @@
         status = failure.reason.status
         if status == 429 and failure.reason not in _QUOTA_REASONS:
             status = 503
-        headers = wire.own_answer(request_id, status)
+        headers = wire.local_response_headers(request_id, status)
         if failure.retry_after is not None:
             headers['Retry-After'] = f'{failure.retry_after:.3f}'
         body = {
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -286,8 +286,8 @@
             response = await self._means.sender.send(
                 engine,
                 self._call,
-                wire.outgoing(self._call, options),
-                wire.answer_head,
+                wire.upstream_headers(self._call, options),
+                wire.decode_response_head,
                 timeout=self._read_timeout(time_left),
                 connect_timeout=_CONNECT_TIMEOUT_S,
                 use_pool=False,
--- a/galenahatch/gateway/lease.py
+++ b/galenahatch/gateway/lease.py
@@ -74,10 +74,10 @@
 
     async def transact(
         self,
-        expected: typing.Sequence[stores.Entry] = (),
-        put: typing.Sequence[stores.Entry] = (),
-        remove: typing.Sequence[stores.Entry] = (),
-    ) -> stores.Written | stores.Conflict | errors.Failure:
+        expected: typing.Sequence[stores.RowOperation] = (),
+        put: typing.Sequence[stores.RowOperation] = (),
+        remove: typing.Sequence[stores.RowOperation] = (),
+    ) -> stores.Committed | stores.Conflict | errors.Failure:
         """Apply a transaction atomically."""
         ...
 
@@ -199,10 +199,10 @@
         until_ms = rows.now_ms + _LENGTH_RATIO * self._fencing_interval * 1000
         value = msgspec.json.encode(_Row(holder, until_ms, rows.era))
         written = await self._store.transact(
-            [stores.Entry(TABLE, _KEY, ver=number)],
-            put=[stores.Entry(TABLE, _KEY, value=value)],
+            [stores.RowOperation(TABLE, _KEY, ver=number)],
+            put=[stores.RowOperation(TABLE, _KEY, value=value)],
         )
-        if not isinstance(written, stores.Written):
+        if not isinstance(written, stores.Committed):
             return None
         return written.version if written.era == rows.era else None
 
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -208,7 +208,7 @@
         fence = await self._lease.acquire()
         if fence is None:
             return False
-        status = await self._send(engine, stage, fence, report.taken)
+        status = await self._send(engine, stage, fence, report.orders_accepted)
         return status in _MAYBE_ACCEPTED
 
     async def _send(
@@ -219,16 +219,16 @@
         accepted: int,
     ) -> int:
         """Send an order; return its status, 0 if there was no answer."""
-        order = engines.stage_order(
+        order = engines.encode_stage_order(
             stage.value, self._mesh.me, fence, accepted
         )
         reply = await self._sender.request_small(
             'POST',
             engine.address,
-            engines.ORDER,
+            engines.ORDER_PATH,
             _CALL_TIMEOUT_S,
             body=order,
-            headers=engines.pinned(engine.id),
+            headers=engines.instance_headers(engine.id),
         )
         status = 0 if isinstance(reply, errors.Failure) else reply[0]
         instruments.orders.add(1, {'status': str(status)})
@@ -246,11 +246,11 @@
         self, engine: upstreams.Upstream
     ) -> engines.Report | None:
         reply = await self._sender.request_small(
-            'GET', engine.address, engines.REPORT, _CALL_TIMEOUT_S
+            'GET', engine.address, engines.REPORT_PATH, _CALL_TIMEOUT_S
         )
         if isinstance(reply, errors.Failure):
             return None
-        report = engines.report(reply[1])
+        report = engines.decode_report(reply[1])
         return None if isinstance(report, errors.Failure) else report
 
 
@@ -260,9 +260,9 @@
     """Return why an engine must not get an order now, or an empty string."""
     if report is None:
         return 'no report'
-    if not report.is_of(engine.id):
+    if not report.may_come_from(engine.id):
         # A restarted engine counts its orders from 0 again, so the order
         # would be checked against the count of a process that the plan
         # doesn't include.
         return 'started again'
-    return 'busy' if report.busy else ''
+    return 'busy' if report.executing_order else ''
--- a/galenahatch/gateway/plain.py
+++ b/galenahatch/gateway/plain.py
@@ -153,7 +153,7 @@
         timeout_share = (
             _FIRST_TIMEOUT_SHARE if may_retry and not only_once else 1.0
         )
-        headers = wire.outgoing(
+        headers = wire.upstream_headers(
             self._call, calls.ForwardingOptions(upstream.id, time_left)
         )
         self._means.balancer.begin(upstream.id)
@@ -165,7 +165,7 @@
                 upstream,
                 self._call,
                 headers,
-                wire.answer_head,
+                wire.decode_response_head,
                 timeout=time_left * timeout_share,
                 connect_timeout=min(_CONNECT_TIMEOUT_S, time_left),
                 use_pool=not only_once,
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -130,7 +130,7 @@
         if body is None or response.head.status != 200:
             detail = f'prefill: status {response.head.status}'
             return Retry(engine.id, detail, (engine.id,))
-        result = engines.prefilled(body)
+        result = engines.decode_prefill_result(body)
         if isinstance(result, errors.Failure):
             return Retry(engine.id, result.detail, (engine.id,))
         self._store_handle(engine, result.handle)
@@ -174,8 +174,8 @@
         return await self._means.sender.send(
             engine,
             self._call,
-            wire.outgoing(self._call, options),
-            wire.answer_head,
+            wire.upstream_headers(self._call, options),
+            wire.decode_response_head,
             timeout=min(time_left, _PREFILL_TIMEOUT_S),
             connect_timeout=_CONNECT_TIMEOUT_S,
             use_pool=True,
--- a/galenahatch/gateway/program.py
+++ b/galenahatch/gateway/program.py
@@ -37,7 +37,7 @@
 
 def main() -> int:
     """Run the gateway until a signal stops it; return the exit code."""
-    path = deployment.path()
+    path = deployment.settings_path()
     settings = deployment.load(path)
     if isinstance(settings, errors.Failure):
         print(f'{settings.reason.name}: {settings.detail}', file=sys.stderr)
--- a/galenahatch/gateway/quarantine.py
+++ b/galenahatch/gateway/quarantine.py
@@ -234,7 +234,7 @@
         if not new and not expired:
             return
         put = [
-            stores.Entry(
+            stores.RowOperation(
                 self._table,
                 ROW_PREFIX + digest,
                 value=msgspec.json.encode(entry),
@@ -242,11 +242,11 @@
             for digest, entry in new.items()
         ]
         remove = [
-            stores.Entry(self._table, ROW_PREFIX + digest)
+            stores.RowOperation(self._table, ROW_PREFIX + digest)
             for digest in expired
         ]
         result = await self._store.transact(put=put, remove=remove)
-        if not isinstance(result, stores.Written):
+        if not isinstance(result, stores.Committed):
             _log.warning(
                 'Could not store quarantine entries yet.',
                 rows=len(put) + len(remove),
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -91,7 +91,10 @@
         replies = await asyncio.gather(
             *(
                 self._sender.request_small(
-                    'GET', engine.address, engines.REPORT, _REPORT_TIMEOUT_S
+                    'GET',
+                    engine.address,
+                    engines.REPORT_PATH,
+                    _REPORT_TIMEOUT_S,
                 )
                 for engine in polled
             )
@@ -104,7 +107,7 @@
                     detail=reply.detail,
                 )
                 continue
-            report = engines.report(reply[1])
+            report = engines.decode_report(reply[1])
             if isinstance(report, errors.Failure):
                 _log.warning(
                     'Invalid engine report.',
@@ -125,13 +128,17 @@
             incarnations.UNKNOWN_START,
             incarnations.started_ms(engine),
         )
-        if report.born not in accepted:
+        if report.started_ms not in accepted:
             successor = self._directory.record_restart(
-                engine, report.born, report.stage
+                engine, report.started_ms, report.stage
             )
             if successor is None:
                 return
             engine = successor.id
         dispatcher.engines.record_report(
-            engine, report.kv_used, report.stage, report.busy, clock.now()
+            engine,
+            report.kv_used,
+            report.stage,
+            report.executing_order,
+            clock.now(),
         )
--- a/galenahatch/gateway/roster.py
+++ b/galenahatch/gateway/roster.py
@@ -205,13 +205,13 @@
             )
             await self._own_row_lost.wait()
 
-    async def _write_own_row(self) -> stores.Written:
+    async def _write_own_row(self) -> stores.Committed:
         """Write this member's row, retrying until it is acknowledged."""
         value = msgspec.json.encode(self._own_row)
-        entry = stores.Entry(MEMBER_TABLE, self._own_id, value=value)
+        entry = stores.RowOperation(MEMBER_TABLE, self._own_id, value=value)
         while True:
             written = await self._store.transact(put=[entry])
-            if isinstance(written, stores.Written):
+            if isinstance(written, stores.Committed):
                 return written
             detail = (
                 written.detail
@@ -265,13 +265,13 @@
             return
 
     async def _remove_row(self, name: ids.MemberId, order: int) -> None:
-        row = stores.Entry(MEMBER_TABLE, name, ver=order)
-        removed = stores.Entry(MEMBER_TABLE, name)
+        row = stores.RowOperation(MEMBER_TABLE, name, ver=order)
+        removed = stores.RowOperation(MEMBER_TABLE, name)
         result = await self._store.transact([row], remove=[removed])
         _log.info(
             'Removed the row of a silent member.',
             member=name,
-            done=isinstance(result, stores.Written),
+            done=isinstance(result, stores.Committed),
         )
 
     def _apply_snapshot(
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -338,14 +338,14 @@
         value = msgspec.json.encode(
             quarantines.Entry(known.ends, released=True)
         )
-        seen = stores.Entry(roster.MEMBER_TABLE, key, ver=rows[0].ver)
-        made = stores.Entry(roster.MEMBER_TABLE, key, value=value)
+        seen = stores.RowOperation(roster.MEMBER_TABLE, key, ver=rows[0].ver)
+        made = stores.RowOperation(roster.MEMBER_TABLE, key, value=value)
         written = await at.transact([seen], put=[made])
         if isinstance(written, errors.Failure):
             return console.report(written)
         # A restore between both calls has given the number to another row.
         is_restored = (
-            isinstance(written, stores.Written) and written.era != found.era
+            isinstance(written, stores.Committed) and written.era != found.era
         )
         if isinstance(written, stores.Conflict) or is_restored:
             detail = f'{digest} was written meanwhile'
@@ -376,7 +376,7 @@
     values = [r.value for r in found.rows if r.key == documents.CONFIG_KEY]
     if not values:
         return errors.Failure(errors.NO_CONFIGURATION)
-    return documents.configuration(values[0])
+    return documents.decode_configuration(values[0])
 
 
 def _upstream(
@@ -388,7 +388,7 @@
         row: of the store.
         services: of the newest configuration; None if there is none.
     """
-    one = documents.upstream(row.key, row.value)
+    one = documents.decode_upstream(row.key, row.value)
     if isinstance(one, errors.Failure):
         return (row.key, '', '', '', '', '', '', one.detail)
     standing = 'leaving' if one.leaving else 'ready'
@@ -417,7 +417,7 @@
 def _run(address: str, work: Work) -> int:
     """Run a command with a client of the store."""
     if not address:
-        path = deployment.path() or os.devnull
+        path = deployment.settings_path() or os.devnull
         found = deployment.load(path)
         if isinstance(found, errors.Failure):
             return console.report(found)
--- a/galenahatch/platform/deployment.py
+++ b/galenahatch/platform/deployment.py
@@ -64,7 +64,7 @@
     heartbeat_ms: float = 1200.0
 
 
-def path() -> str:
+def settings_path() -> str:
     """Return where the settings file is; empty if it is not said."""
     return os.environ.get(PATH_VARIABLE, '')
 
--- a/galenahatch/platform/documents.py
+++ b/galenahatch/platform/documents.py
@@ -136,7 +136,7 @@
 _UPSTREAM: typing.Final = msgspec.json.Decoder(_Upstream)
 
 
-def configuration(data: bytes) -> routes.Configuration | errors.Failure:
+def decode_configuration(data: bytes) -> routes.Configuration | errors.Failure:
     """Return the configuration in a document."""
     try:
         raw = _CONFIG.decode(data)
@@ -154,7 +154,9 @@
         return errors.Failure(errors.BAD_CONFIGURATION, str(error))
 
 
-def upstream(key: str, data: bytes) -> upstreams.Upstream | errors.Failure:
+def decode_upstream(
+    key: str, data: bytes
+) -> upstreams.Upstream | errors.Failure:
     """Return an upstream from its row; never raises, whatever the bytes.
 
     Args:
@@ -176,7 +178,7 @@
         return errors.Failure(errors.BAD_UPSTREAM, f'{key}: {error}')
 
 
-def start(told: int | msgspec.UnsetType) -> int:
+def checked_start_ms(told: int | msgspec.UnsetType) -> int:
     """Return the moment at which an upstream says that it started.
 
     Raises:
@@ -190,7 +192,9 @@
 
 
 def _incarnation(key: str, told: int | msgspec.UnsetType) -> ids.UpstreamId:
-    return incarnations.upstream_id(ids.InstanceId(key), start(told))
+    return incarnations.upstream_id(
+        ids.InstanceId(key), checked_start_ms(told)
+    )
 
 
 def _address(address: str) -> str:
--- a/galenahatch/platform/engines.py
+++ b/galenahatch/platform/engines.py
@@ -24,8 +24,8 @@
 from galenahatch.platform import documents
 from galenahatch.platform import wire
 
-REPORT: typing.Final = '/report'
-ORDER: typing.Final = '/order'
+REPORT_PATH: typing.Final = '/report'
+ORDER_PATH: typing.Final = '/order'
 
 
 class _Report(msgspec.Struct, frozen=True):
@@ -49,25 +49,26 @@
         queued: requests that wait.
         kv_used: tokens of memory that can't yield.
         stage: that it is in.
-        busy: whether an order is being carried out.
-        taken: orders that it has taken since its start.
-        born: Unix milliseconds of its start, or `incarnations.UNKNOWN`.
+        executing_order: whether an order is being carried out.
+        orders_accepted: orders that it has taken since its start.
+        started_ms: Unix milliseconds of its start, or `incarnations.UNKNOWN`.
     """
 
     active: int
     queued: int
     kv_used: int
     stage: upstreams.Stage | None
-    busy: bool
-    taken: int
-    born: int = incarnations.UNKNOWN_START
+    executing_order: bool
+    orders_accepted: int
+    started_ms: int = incarnations.UNKNOWN_START
 
-    def is_of(self, upstream: ids.UpstreamId) -> bool:
+    def may_come_from(self, upstream: ids.UpstreamId) -> bool:
         """Return whether it may come from a certain start."""
         unknown = incarnations.UNKNOWN_START
-        return self.born in (unknown, incarnations.started_ms(upstream)) or (
-            incarnations.started_ms(upstream) == unknown
-        )
+        return self.started_ms in (
+            unknown,
+            incarnations.started_ms(upstream),
+        ) or (incarnations.started_ms(upstream) == unknown)
 
 
 class _Order(msgspec.Struct, frozen=True):
@@ -84,7 +85,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Prefilled:
+class PrefillResult:
     """A finished prefill.
 
     Attributes:
@@ -103,12 +104,12 @@
     return f'/kv-handle/{handle}'
 
 
-def report(data: bytes) -> Report | errors.Failure:
+def decode_report(data: bytes) -> Report | errors.Failure:
     """Return the report in a body."""
     try:
         raw = _REPORT.decode(data)
         stage = upstreams.Stage(raw.stage) if raw.stage else None
-        born = documents.start(raw.born)
+        started_ms = documents.checked_start_ms(raw.born)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
     return Report(
@@ -116,21 +117,23 @@
         queued=raw.queued,
         kv_used=raw.kv_used,
         stage=stage,
-        busy=raw.busy,
-        taken=raw.seq_no,
-        born=born,
+        executing_order=raw.busy,
+        orders_accepted=raw.seq_no,
+        started_ms=started_ms,
     )
 
 
-def prefilled(data: bytes) -> Prefilled | errors.Failure:
+def decode_prefill_result(data: bytes) -> PrefillResult | errors.Failure:
     """Return the result of a prefill in a body."""
     try:
-        return Prefilled(_PREFILLED.decode(data).kv_handle)
+        return PrefillResult(_PREFILLED.decode(data).kv_handle)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
 
-def stage_order(stage: str, holder: str, fence: int, taken: int) -> bytes:
+def encode_stage_order(
+    stage: str, holder: str, fence: int, taken: int
+) -> bytes:
     """Return the body of an order to change the stage.
 
     Args:
@@ -142,9 +145,9 @@
     return msgspec.json.encode(_Order('stage', stage, holder, fence, taken))
 
 
-def pinned(upstream: ids.UpstreamId) -> dict[str, str]:
+def instance_headers(upstream: ids.UpstreamId) -> dict[str, str]:
     """Return the headers of a call that only one upstream may take."""
     return {
-        wire.INSTANCE: incarnations.instance_id(upstream),
+        wire.INSTANCE_HEADER: incarnations.instance_id(upstream),
         'Content-Type': 'application/json',
     }
--- a/galenahatch/platform/eras.py
+++ b/galenahatch/platform/eras.py
@@ -27,10 +27,10 @@
 seem out of date."""
 _log = logs.Log('store')
 
-Changed = collections.abc.Callable[[int | None, int], None]
+EraCallback = collections.abc.Callable[[int | None, int], None]
 
 
-def era(values: collections.abc.Sequence[str]) -> int | None:
+def parse_era(values: collections.abc.Sequence[str]) -> int | None:
     """Return the era that the values of the header name, if they name one."""
     distinct = {value.strip() for value in values}
     if len(distinct) != 1:
@@ -39,7 +39,7 @@
     return int(text) if _NUMBER.fullmatch(text) else None
 
 
-class Eras:
+class EraTracker:
     """The newest era that was heard of.
 
     Attributes:
@@ -50,19 +50,19 @@
     def __init__(self) -> None:
         self._newest: int | None = None
         self._unreadable: tuple[str, ...] = ()
-        self.on_change: Changed = lambda before, after: None
+        self.on_change: EraCallback = lambda before, after: None
 
     @property
     def newest(self) -> int:
         """The newest era; 0 as long as none was named."""
         return self._newest or 0
 
-    def hear(self, values: collections.abc.Sequence[str]) -> int:
+    def observe(self, values: collections.abc.Sequence[str]) -> int:
         """Take the header of an answer; return the era that it is of.
 
         An answer without a readable era is taken for one of the newest era.
         """
-        told = era(values)
+        told = parse_era(values)
         if told is None:
             self._note_unreadable(tuple(values))
             return self.newest
--- a/galenahatch/platform/store.py
+++ b/galenahatch/platform/store.py
@@ -34,7 +34,7 @@
 from galenahatch.platform import eras
 from galenahatch import timeouts
 
-CALL_TIMEOUT: typing.Final = 1.5
+CALL_TIMEOUT_S: typing.Final = 1.5
 """Seconds for a call that does not wait. The platform promises answers in
 some ms; an answer that takes longer is lost or the store is away."""
 _NO_LIMIT: typing.Final = aiohttp.ClientTimeout(total=None)
@@ -79,7 +79,7 @@
         return versions.Version(self.era, self.ver)
 
 
-class Written(msgspec.Struct, frozen=True):
+class Committed(msgspec.Struct, frozen=True):
     """A transaction that was applied, and the version that it made."""
 
     ver: int = 0
@@ -99,7 +99,7 @@
     rows: list[Row]
 
 
-class Entry(msgspec.Struct, frozen=True, omit_defaults=True):
+class RowOperation(msgspec.Struct, frozen=True, omit_defaults=True):
     """One row in a transaction: its condition, its value or its key.
 
     Attributes:
@@ -116,10 +116,10 @@
 
 class _Transaction(msgspec.Struct, frozen=True):
     # The wire's name for the conditions of a transaction.
-    expected: list[Entry]
+    expected: list[RowOperation]
     # Rows to write, not keys only.
-    set_keys: list[Entry]
-    remove: list[Entry]
+    set_keys: list[RowOperation]
+    remove: list[RowOperation]
 
 
 class _Reply(typing.NamedTuple):
@@ -129,7 +129,7 @@
 
 
 _ROWS: typing.Final = msgspec.json.Decoder(Rows)
-_WRITTEN: typing.Final = msgspec.json.Decoder(Written)
+_WRITTEN: typing.Final = msgspec.json.Decoder(Committed)
 
 
 class Store:
@@ -146,7 +146,7 @@
     def __init__(self, client: aiohttp.ClientSession, address: str) -> None:
         self._client = client
         self._url = f'http://{address}'
-        self.eras = eras.Eras()
+        self.eras = eras.EraTracker()
 
     async def rows(self, table: str, part: str = '') -> Rows | errors.Failure:
         """Return all rows of a part of a table, in pages of one version
@@ -159,7 +159,7 @@
             query = {'table': table, 'part': part}
             if start:
                 query['from'] = start
-            page = await self._read('rows-get', query, CALL_TIMEOUT)
+            page = await self._read('rows-get', query, CALL_TIMEOUT_S)
             if isinstance(page, errors.Failure):
                 return page
             first = first or page
@@ -195,14 +195,14 @@
 
     async def transact(
         self,
-        expected: typing.Sequence[Entry] = (),
-        put: typing.Sequence[Entry] = (),
-        remove: typing.Sequence[Entry] = (),
-    ) -> Written | Conflict | errors.Failure:
+        expected: typing.Sequence[RowOperation] = (),
+        put: typing.Sequence[RowOperation] = (),
+        remove: typing.Sequence[RowOperation] = (),
+    ) -> Committed | Conflict | errors.Failure:
         """Apply a transaction, all of it or nothing."""
         call = _Transaction(list(expected), list(put), list(remove))
         body = msgspec.json.encode(call)
-        reply = await self._call('POST', 'rows-tx', body, CALL_TIMEOUT)
+        reply = await self._call('POST', 'rows-tx', body, CALL_TIMEOUT_S)
         if isinstance(reply, errors.Failure):
             return reply
         try:
@@ -253,7 +253,7 @@
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError) as error:
             detail = f'{type(error).__name__} {error}'
             return errors.Failure(errors.STORE_UNAVAILABLE, detail)
-        era = self.eras.hear(response.headers.getall(eras.HEADER, ()))
+        era = self.eras.observe(response.headers.getall(eras.HEADER, ()))
         if era < self.eras.newest:
             detail = f'answer of era {era}, the newest is {self.eras.newest}'
             return errors.Failure(errors.STORE_UNAVAILABLE, detail)
--- a/galenahatch/platform/wire.py
+++ b/galenahatch/platform/wire.py
@@ -39,7 +39,7 @@
 _CREDENTIALS: typing.Final = 'Authorization'
 _CUSTOMER: typing.Final = _PREFIX + 'Tenant'
 
-INSTANCE: typing.Final = _PREFIX + 'Expect-Instance'
+INSTANCE_HEADER: typing.Final = _PREFIX + 'Expect-Instance'
 """The only upstream that may take a request or an order."""
 _STAGE: typing.Final = _PREFIX + 'Stage'
 _KV_SOURCE: typing.Final = _PREFIX + 'Kv-Source'
@@ -56,7 +56,7 @@
 _SYSTEM_ONLY: typing.Final = frozenset(
     name.lower()
     for name in (
-        INSTANCE,
+        INSTANCE_HEADER,
         _STAGE,
         _KV_SOURCE,
         _PRIORITY,
@@ -95,11 +95,11 @@
 _SHOWN: typing.Final = 40
 """Characters of a malformed value that are logged."""
 
-Raw = typing.Iterable[tuple[bytes, bytes]]
+RawHeaders = typing.Iterable[tuple[bytes, bytes]]
 
 
-def call(
-    method: str, target: str, raw: Raw, body: bytes, arrived_at: float
+def decode_call(
+    method: str, target: str, raw: RawHeaders, body: bytes, arrived_at: float
 ) -> calls.Call:
     """Return a caller's request.
 
@@ -130,7 +130,7 @@
     )
 
 
-def identified(
+def with_customer(
     request: calls.Call, customer: customers.Customer | None
 ) -> calls.Call:
     """Return a request whose caller is known.
@@ -155,12 +155,12 @@
     )
 
 
-def outgoing(
+def upstream_headers(
     request: calls.Call, directions: calls.ForwardingOptions
 ) -> 'multidict.CIMultiDict[str]':
     """Return the headers of a request to an upstream."""
     headers = request.headers.copy()
-    headers[INSTANCE] = incarnations.instance_id(directions.upstream)
+    headers[INSTANCE_HEADER] = incarnations.instance_id(directions.upstream)
     if directions.time_left is not None:
         left = max(1, int(directions.time_left * 1000))
         headers[_PATIENCE] = str(left)
@@ -175,7 +175,7 @@
     return headers
 
 
-def answer_head(status: int, raw: Raw) -> calls.ResponseHead:
+def decode_response_head(status: int, raw: RawHeaders) -> calls.ResponseHead:
     """Return the head of an upstream's answer."""
     headers = _end_to_end(raw)
     return calls.ResponseHead(
@@ -192,7 +192,9 @@
     )
 
 
-def own_answer(request: str, status: int) -> 'multidict.CIMultiDict[str]':
+def local_response_headers(
+    request: str, status: int
+) -> 'multidict.CIMultiDict[str]':
     """Return the headers of an answer that the system makes itself."""
     headers: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     if request:
@@ -202,7 +204,7 @@
     return headers
 
 
-def _end_to_end(raw: Raw) -> 'multidict.CIMultiDict[str]':
+def _end_to_end(raw: RawHeaders) -> 'multidict.CIMultiDict[str]':
     headers: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     named: set[str] = set()
     for raw_name, raw_value in raw:
--- a/galenahatch/test/test_customers.py
+++ b/galenahatch/test/test_customers.py
@@ -95,7 +95,7 @@
 
 def _call(*headers: tuple[bytes, bytes]) -> calls.Call:
     raw = [(b'Host', b'h'), (b'X-Galenahatch-Request-Id', b'r1'), *headers]
-    return wire.call('POST', '/p', raw, b'', 0.0)
+    return wire.decode_call('POST', '/p', raw, b'', 0.0)
 
 
 def test_key_goes_nowhere() -> None:
@@ -107,9 +107,9 @@
     )
     found = customers.authenticate(_KNOWN, call.credentials, False)
     assert isinstance(found, customers.Customer)
-    known = wire.identified(call, found)
+    known = wire.with_customer(call, found)
     directions = calls.ForwardingOptions(ids.UpstreamId('i-1'), 1.0)
-    sent = wire.outgoing(known, directions)
+    sent = wire.upstream_headers(known, directions)
     assert sent.getall('X-Galenahatch-Tenant') == ['shop']
     assert 'Authorization' not in sent
     assert 'k1' not in repr(known)
@@ -118,7 +118,7 @@
 def test_anonymous_route_names_nobody() -> None:
     """Without a key no customer is named, whatever the caller says."""
     call = _call((b'X-Galenahatch-Tenant', b'desk'))
-    sent = wire.identified(call, None).headers
+    sent = wire.with_customer(call, None).headers
     assert 'X-Galenahatch-Tenant' not in sent
 
 
@@ -128,7 +128,7 @@
         (b'Authorization', b'Bearer k1'), (b'X-Galenahatch-Tenant', b'desk')
     )
     directions = calls.ForwardingOptions(ids.UpstreamId('i-1'), 1.0)
-    sent = wire.outgoing(call, directions)
+    sent = wire.upstream_headers(call, directions)
     assert sent['Authorization'] == 'Bearer k1'
     assert sent['X-Galenahatch-Tenant'] == 'desk'
 
@@ -140,7 +140,7 @@
         call = _call((b'Authorization', b'Bearer ' + key.encode()))
         found = customers.authenticate(_KNOWN, call.credentials, False)
         assert isinstance(found, customers.Customer)
-        return wire.identified(call, found).digest
+        return wire.with_customer(call, found).digest
 
     assert digest('k1') == digest('k2')
     assert digest('k1') != digest('k3')
@@ -171,10 +171,10 @@
         quota=quota,
         default_tokens=200.0,
     )
-    assert wire.identified(call, by_tokens).quota_units == (tokens or 200)
+    assert wire.with_customer(call, by_tokens).quota_units == (tokens or 200)
     by_requests = customers.Customer(
         ids.CustomerName('a'), frozenset(), quota=quota
     )
-    assert wire.identified(call, by_requests).quota_units == 1
+    assert wire.with_customer(call, by_requests).quota_units == 1
     unlimited = customers.Customer(ids.CustomerName('a'), frozenset())
-    assert wire.identified(call, unlimited).quota_units == 0
+    assert wire.with_customer(call, unlimited).quota_units == 0
--- a/galenahatch/test/test_incarnations.py
+++ b/galenahatch/test/test_incarnations.py
@@ -71,7 +71,7 @@
     fields['stage'] = stage.value
     if born is not None:
         fields['born'] = born
-    found = documents.upstream(name, msgspec.json.encode(fields))
+    found = documents.decode_upstream(name, msgspec.json.encode(fields))
     assert isinstance(found, upstreams.Upstream)
     return found
 
@@ -104,7 +104,7 @@
 def test_entries(value: str, expected: str) -> None:
     """An entry names an upstream, or says why it names none."""
     data = value.encode().decode('unicode_escape').encode('latin-1')
-    found = documents.upstream('i-1', data)
+    found = documents.decode_upstream('i-1', data)
     if expected == 'good':
         assert isinstance(found, upstreams.Upstream), found
         return
@@ -130,9 +130,9 @@
 @hypothesis.given(strategies.binary())
 def test_any_bytes(value: bytes) -> None:
     """No bytes raise, as an entry or as a report."""
-    found = documents.upstream('i-1', value)
+    found = documents.decode_upstream('i-1', value)
     assert isinstance(found, errors.Failure | upstreams.Upstream)
-    told = engines.report(value)
+    told = engines.decode_report(value)
     assert isinstance(told, errors.Failure | engines.Report)
 
 
@@ -140,7 +140,7 @@
 def test_any_field(field: str, value: object) -> None:
     """One field of anything is a failure, or an upstream that can be used."""
     document = msgspec.json.encode({**_ENTRY, field: value})
-    found = documents.upstream('i-1', document)
+    found = documents.decode_upstream('i-1', document)
     if isinstance(found, errors.Failure):
         return
     assert found.slots > 0
@@ -156,7 +156,7 @@
 def test_missing_field(field: str) -> None:
     """Each field that the page lists is needed."""
     fields = {key: value for key, value in _ENTRY.items() if key != field}
-    found = documents.upstream('i-1', msgspec.json.encode(fields))
+    found = documents.decode_upstream('i-1', msgspec.json.encode(fields))
     assert isinstance(found, errors.Failure)
 
 
--- a/galenahatch/test/test_lease.py
+++ b/galenahatch/test/test_lease.py
@@ -87,13 +87,13 @@
 
     async def transact(
         self,
-        expected: typing.Sequence[stores.Entry] = (),
-        put: typing.Sequence[stores.Entry] = (),
-        remove: typing.Sequence[stores.Entry] = (),
-    ) -> stores.Written | stores.Conflict | errors.Failure:
+        expected: typing.Sequence[stores.RowOperation] = (),
+        put: typing.Sequence[stores.RowOperation] = (),
+        remove: typing.Sequence[stores.RowOperation] = (),
+    ) -> stores.Committed | stores.Conflict | errors.Failure:
         """Apply a transaction at the moment of the turn, or later."""
 
-        def apply() -> stores.Written | stores.Conflict:
+        def apply() -> stores.Committed | stores.Conflict:
             for entry in expected:
                 row = self._rows.get(entry.key)
                 if (row.ver if row else 0) != entry.ver:
@@ -103,7 +103,7 @@
                 assert entry.value is not msgspec.UNSET
                 row = stores.Row(entry.key, self._ver, entry.value)
                 self._rows[entry.key] = row
-            return stores.Written(self._ver, self._now_ms, self._era)
+            return stores.Committed(self._ver, self._now_ms, self._era)
 
         how = await _Turn()
         if how == 'refused':
--- a/galenahatch/test/test_notices.py
+++ b/galenahatch/test/test_notices.py
@@ -33,7 +33,7 @@
 
 def _head(status: int, *headers: tuple[str, str]) -> calls.ResponseHead:
     raw = [(name.encode(), value.encode()) for name, value in headers]
-    return wire.answer_head(status, raw)
+    return wire.decode_response_head(status, raw)
 
 
 @pytest.mark.parametrize(
@@ -93,7 +93,7 @@
 )
 def test_any_bytes(raw: list[tuple[bytes, bytes]]) -> None:
     """Whatever an upstream sends is decoded, or a failure."""
-    head = wire.answer_head(503, raw)
+    head = wire.decode_response_head(503, raw)
     assert isinstance(head.leaving, bool | errors.Failure)
     if isinstance(head.pause, float):
         assert math.isfinite(head.pause) and head.pause >= 0
--- a/galenahatch/test/test_pauses.py
+++ b/galenahatch/test/test_pauses.py
@@ -83,9 +83,11 @@
     call = calls.Call(
         number, 'GET', '', '/x', headers, b'', 0.0, None, None, ''
     )
-    told = wire.outgoing(call, calls.ForwardingOptions(upstream.id, 5.0))
+    told = wire.upstream_headers(
+        call, calls.ForwardingOptions(upstream.id, 5.0)
+    )
     return await sender.send(
-        upstream, call, told, wire.answer_head, timeout, _SOON, keep
+        upstream, call, told, wire.decode_response_head, timeout, _SOON, keep
     )
 
 
--- a/galenahatch/test/test_platform.py
+++ b/galenahatch/test/test_platform.py
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize(('document', 'expected'), cases.read('documents.txt'))
 def test_documents(document: str, expected: str) -> None:
     """A bad configuration is a failure that says which field is wrong."""
-    found = documents.configuration(document.encode())
+    found = documents.decode_configuration(document.encode())
     if expected == 'good':
         assert not isinstance(found, errors.Failure), found
         return
@@ -68,11 +68,11 @@
 def test_bad_upstream() -> None:
     """A bad entry of an upstream names the upstream."""
     for value in (b'', b'{', b'{"service": 1}', b'{"service": "s"}'):
-        found = documents.upstream('i-1', value)
+        found = documents.decode_upstream('i-1', value)
         assert isinstance(found, errors.Failure)
         assert 'i-1' in found.detail
     entry = b'{"service":"s","address":"a:1","state":"x","stage":"nap"}'
-    assert isinstance(documents.upstream('i-1', entry), errors.Failure)
+    assert isinstance(documents.decode_upstream('i-1', entry), errors.Failure)
 
 
 def test_request_headers() -> None:
@@ -86,20 +86,20 @@
         (b'X-Galenahatch-Length-Hint', b'60'),
         (b'X-Galenahatch-Deadline-Ms', b'1500'),
     ]
-    call = wire.call('POST', '/p', raw, b'', 0.0)
+    call = wire.decode_call('POST', '/p', raw, b'', 0.0)
     assert call.prompt == calls.Prompt(1460, 80, 60, 'e4')
     assert (call.id, call.caller_timeout) == ('r1', 1.5)
     raw[3] = (b'X-Galenahatch-Token-Count', b'many')
     raw[6] = (b'X-Galenahatch-Deadline-Ms', b'-3')
-    call = wire.call('POST', '/p', raw, b'', 0.0)
+    call = wire.decode_call('POST', '/p', raw, b'', 0.0)
     assert call.prompt is None
     assert call.caller_timeout is None
 
 
 def test_directions() -> None:
     """What the system says stands in the headers that upstreams read."""
-    call = wire.call('POST', '/p', [(b'Last-Event-Id', b'3')], b'', 0.0)
-    told = wire.outgoing(
+    call = wire.decode_call('POST', '/p', [(b'Last-Event-Id', b'3')], b'', 0.0)
+    told = wire.upstream_headers(
         call,
         calls.ForwardingOptions(
             ids.UpstreamId('i-1'),
@@ -126,19 +126,21 @@
         (503, [], False),
         (500, [], False),
     ):
-        assert wire.answer_head(status, raw).not_executed is expected
+        assert wire.decode_response_head(status, raw).not_executed is expected
     load = [(b'X-Galenahatch-Instance-Load', b'3,2,8')]
-    assert wire.answer_head(200, load).load == 5
+    assert wire.decode_response_head(200, load).load == 5
     load = [(b'X-Galenahatch-Instance-Load', b'lots')]
-    assert wire.answer_head(200, load).load is None
+    assert wire.decode_response_head(200, load).load is None
 
 
 def test_engine_documents() -> None:
     """Reports and results of prefills that are bad are failures."""
     for data in (b'', b'[]', b'{"kv_used": "x"}', b'{"stage": "nap"}'):
-        assert isinstance(engines.report(data), errors.Failure)
-    assert isinstance(engines.prefilled(b'{}'), errors.Failure)
-    order = msgspec.json.decode(engines.stage_order('decode', 'me', 4, 2))
+        assert isinstance(engines.decode_report(data), errors.Failure)
+    assert isinstance(engines.decode_prefill_result(b'{}'), errors.Failure)
+    order = msgspec.json.decode(
+        engines.encode_stage_order('decode', 'me', 4, 2)
+    )
     assert order == {
         'op': 'stage',
         'stage': 'decode',
@@ -198,18 +200,18 @@
     """A transaction with a stale condition changes nothing."""
 
     async def check(store: stores.Store, standin: rows.Store) -> None:
-        new = stores.Entry('t', 'k', ver=0)
-        value = stores.Entry('t', 'k', value=b'one')
+        new = stores.RowOperation('t', 'k', ver=0)
+        value = stores.RowOperation('t', 'k', value=b'one')
         written = await store.transact([new], [value])
-        assert isinstance(written, stores.Written)
+        assert isinstance(written, stores.Committed)
         again = await store.transact([new], [value])
         assert isinstance(again, stores.Conflict)
         assert again.rows[0].ver == written.ver
         gone = await store.transact(
-            [stores.Entry('t', 'k', ver=written.ver)],
-            remove=[stores.Entry('t', 'k')],
+            [stores.RowOperation('t', 'k', ver=written.ver)],
+            remove=[stores.RowOperation('t', 'k')],
         )
-        assert isinstance(gone, stores.Written)
+        assert isinstance(gone, stores.Committed)
 
     _with_store(check)
 
@@ -219,7 +221,7 @@
 
     async def check(store: stores.Store, standin: rows.Store) -> None:
         standin.lose_answers = True
-        value = stores.Entry('t', 'k', value=b'one')
+        value = stores.RowOperation('t', 'k', value=b'one')
         lost = await store.transact(put=[value])
         assert isinstance(lost, errors.Failure)
         assert lost.reason is errors.STORE_UNAVAILABLE
@@ -237,7 +239,9 @@
         for found in (
             await store.rows('t'),
             await store.changes('t', 0, 0.1),
-            await store.transact(put=[stores.Entry('t', 'k', value=b'')]),
+            await store.transact(
+                put=[stores.RowOperation('t', 'k', value=b'')]
+            ),
         ):
             assert isinstance(found, errors.Failure)
             assert found.reason is errors.STORE_UNAVAILABLE
--- a/galenahatch/test/test_ratelimits.py
+++ b/galenahatch/test/test_ratelimits.py
@@ -41,7 +41,7 @@
 
 def _decoded(*values: str) -> float | None | errors.Failure:
     raw = [(b'server-LIMIT', value.encode('latin-1')) for value in values]
-    return wire.answer_head(200, raw).rate_limit
+    return wire.decode_response_head(200, raw).rate_limit
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
 def test_malformed(value: str) -> None:
     """What is no decimal number changes nothing, and is told as such."""
     raw = [(b'Server-Limit', value.encode())]
-    found = wire.answer_head(200, raw).rate_limit
+    found = wire.decode_response_head(200, raw).rate_limit
     assert isinstance(found, errors.Failure)
     assert len(found.detail) < 200
 
@@ -79,7 +79,7 @@
 def test_any_bytes(values: list[bytes]) -> None:
     """Whatever an upstream sends is a finite limit, none, or a failure."""
     raw = [(b'Server-Limit', value) for value in values]
-    found = wire.answer_head(200, raw).rate_limit
+    found = wire.decode_response_head(200, raw).rate_limit
     assert found is None or isinstance(found, float | errors.Failure)
     if isinstance(found, float):
         assert math.isfinite(found) and found >= 0
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -250,12 +250,12 @@
 )
 def test_era_of_any_header(values: list[str], era: int | None) -> None:
     """What can't be read changes nothing."""
-    assert eras.era(values) == era
-    heard = eras.Eras()
-    heard.hear(['2'])
-    assert heard.hear(values) == (era or 2)
+    assert eras.parse_era(values) == era
+    heard = eras.EraTracker()
+    heard.observe(['2'])
+    assert heard.observe(values) == (era or 2)
     assert heard.newest == (era or 2)
-    assert heard.hear(['1']) == 1, 'late, and known as such'
+    assert heard.observe(['1']) == 1, 'late, and known as such'
     assert heard.newest == (era or 2)
 
 
--- a/galenahatch/test/test_suspensions.py
+++ b/galenahatch/test/test_suspensions.py
@@ -87,10 +87,10 @@
 
     async def transact(
         self, *args: typing.Any, **rows: typing.Any
-    ) -> stores.Written:
+    ) -> stores.Committed:
         """Grant it; the answer is read only after the suspension."""
         self._vm.suspend(_SLEPT)
-        return stores.Written(7, 0.0)
+        return stores.Committed(7, 0.0)
 
 
 def test_lease_runs_out_in_a_suspension(vm: _Vm) -> None:
