--- a/galenahatch/plain.py
+++ b/galenahatch/plain.py
@@ -238,7 +238,7 @@
     return service_client.Call(
         request.method,
         path,
-        service_client.forwarded(request.headers),
+        service_client.forwardable_headers(request.headers),
         body,
     )
 
--- a/galenahatch/upstream/service.py
+++ b/galenahatch/upstream/service.py
@@ -55,7 +55,7 @@
     body: bytes
 
 
-def forwarded(headers: typing.Mapping[str, str]) -> dict[str, str]:
+def forwardable_headers(headers: typing.Mapping[str, str]) -> dict[str, str]:
     """Return the headers that go on to a service."""
     return {
         name: value
