--- a/galenahatch/platform/deployment.py
+++ b/galenahatch/platform/deployment.py
@@ -12,10 +12,9 @@
 
 """Reads the settings file that the platform writes for each process.
 
-The names of its fields are the platform's; this is the only place that
-knows them. Fields that we don't use are ignored, so the platform may add
-some. Every field that is missing or wrong is reported with its name, its
-value and what would be right.
+The platform defines the field names, and only this module uses them.
+Unknown fields are ignored, so that the platform can add fields. A missing
+or invalid field is reported with its name, its value and the expected value.
 """
 
 import math
@@ -65,12 +64,12 @@
 
 
 def settings_path() -> str:
-    """Return where the settings file is; empty if it is not said."""
+    """Return the path of the settings file, or an empty string if unset."""
     return os.environ.get(PATH_VARIABLE, '')
 
 
 def load(file: str) -> settings.Settings | errors.Failure:
-    """Return the settings in a file."""
+    """Read and validate a settings file."""
     try:
         with open(file, 'rb') as source:
             data = source.read()
@@ -80,25 +79,29 @@
 
 
 def decode(data: bytes) -> settings.Settings | errors.Failure:
-    """Return the settings in the text of a file."""
+    """Decode and validate the contents of a settings file."""
     try:
         raw = msgspec.json.decode(data, type=_File)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_SETTING, str(error))
-    front = _address('listen.front', raw.listen.front)
-    readiness = _address('listen.readiness', raw.listen.readiness)
-    store = _address('platform.address', raw.platform.address)
-    for found in (front, readiness, store):
-        if isinstance(found, errors.Failure):
-            return found
+    front = _parse_address('listen.front', raw.listen.front)
+    readiness = _parse_address('listen.readiness', raw.listen.readiness)
+    store = _parse_address('platform.address', raw.platform.address)
+    for address in (front, readiness, store):
+        if isinstance(address, errors.Failure):
+            return address
     assert isinstance(front, settings.Address)
     assert isinstance(readiness, settings.Address)
     assert isinstance(store, settings.Address)
     first, last = raw.port_range
     if not 0 < first < last < 65536:
-        return _wrong('port_range', raw.port_range, 'two ports, ascending')
+        return _invalid_field(
+            'port_range', raw.port_range, 'two ports in ascending order'
+        )
     if not 0 < raw.heartbeat_ms < math.inf:
-        return _wrong('heartbeat_ms', raw.heartbeat_ms, 'a time over 0')
+        return _invalid_field(
+            'heartbeat_ms', raw.heartbeat_ms, 'a finite time above 0'
+        )
     return settings.Settings(
         name=raw.node_name,
         address=raw.ip,
@@ -107,12 +110,12 @@
         readiness=readiness,
         peer_port=first,
         store=store,
-        bounds=_bounds(raw.bounds),
+        bounds=_convert_bounds(raw.bounds),
         heartbeat=raw.heartbeat_ms / 1000,
     )
 
 
-def _bounds(raw: _Bounds) -> settings.Bounds:
+def _convert_bounds(raw: _Bounds) -> settings.Bounds:
     return settings.Bounds(
         drain=raw.drain_ms / 1000,
         grace=raw.grace_s,
@@ -126,13 +129,13 @@
     )
 
 
-def _address(field: str, text: str) -> settings.Address | errors.Failure:
+def _parse_address(field: str, text: str) -> settings.Address | errors.Failure:
     host, _, port = text.rpartition(':')
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        return _wrong(field, text, 'IP:PORT')
+        return _invalid_field(field, text, 'IP:PORT')
     return settings.Address(host, int(port))
 
 
-def _wrong(field: str, value: object, expected: str) -> errors.Failure:
+def _invalid_field(field: str, value: object, expected: str) -> errors.Failure:
     detail = f'{field} is {value!r}, expected {expected}'
     return errors.Failure(errors.BAD_SETTING, detail)
