--- a/galenahatch/platform/eras.py
+++ b/galenahatch/platform/eras.py
@@ -10,9 +10,9 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The era of the platform's store, which each of its answers names.
+"""Tracks the era of the platform's store, which each response names.
 
-It rises by one whenever the store comes back from an older copy.
+The era increases by one each time the store is restored from a backup.
 """
 
 import collections.abc
@@ -22,70 +22,73 @@
 from galenahatch import logs
 
 HEADER: typing.Final = 'Store-Era'
-_NUMBER: typing.Final = re.compile('[0-9]{1,9}', re.ASCII)
-"""Larger numbers are no era: believed once, one would make all later answers
-seem out of date."""
+_ERA_FORMAT: typing.Final = re.compile('[0-9]{1,9}', re.ASCII)
+"""Larger numbers are malformed: accepting one would make all later responses
+look stale."""
 _log = logs.Log('store')
 
 EraCallback = collections.abc.Callable[[int | None, int], None]
 
 
 def parse_era(values: collections.abc.Sequence[str]) -> int | None:
-    """Return the era that the values of the header name, if they name one."""
+    """Return the era in the header's values, or None if they name no single
+    valid one."""
     distinct = {value.strip() for value in values}
     if len(distinct) != 1:
         return None
     text = distinct.pop()
-    return int(text) if _NUMBER.fullmatch(text) else None
+    return int(text) if _ERA_FORMAT.fullmatch(text) else None
 
 
 class EraTracker:
-    """The newest era that was heard of.
+    """Tracks the newest era that the store's responses name.
 
     Attributes:
-        on_change: called with the era before, if one was named, and the new
-            one.
+        on_change: callback that gets the previous era, or None if there was
+            none, and the new era.
     """
 
     def __init__(self) -> None:
         self._newest: int | None = None
-        self._unreadable: tuple[str, ...] = ()
+        self._last_invalid: tuple[str, ...] = ()
         self.on_change: EraCallback = lambda before, after: None
 
     @property
     def newest(self) -> int:
-        """The newest era; 0 as long as none was named."""
+        """The newest era; 0 until a response names one."""
         return self._newest or 0
 
     def observe(self, values: collections.abc.Sequence[str]) -> int:
-        """Take the header of an answer; return the era that it is of.
+        """Record the era header of a response and return the response's era.
 
-        An answer without a readable era is taken for one of the newest era.
+        A response without a valid era counts as one of the newest era.
         """
-        told = parse_era(values)
-        if told is None:
-            self._note_unreadable(tuple(values))
+        observed = parse_era(values)
+        if observed is None:
+            self._note_invalid(tuple(values))
             return self.newest
-        if self._newest is None or told > self._newest:
-            self._change(self._newest, told)
-        return told
+        if self._newest is None or observed > self._newest:
+            self._change(self._newest, observed)
+        return observed
 
     def _change(self, before: int | None, after: int) -> None:
         self._newest = after
         if before is None:
-            _log.info('Era of the store.', era=after)
+            _log.info('Store era observed.', era=after)
         else:
             _log.warning('Store restored.', before=before, era=after)
         self.on_change(before, after)
 
-    def _note_unreadable(self, values: tuple[str, ...]) -> None:
-        """Log a header that names no era, once in a row.
+    def _note_invalid(self, values: tuple[str, ...]) -> None:
+        """Log an invalid era header, once while it repeats.
 
-        A store that never names one is in era 0: if it names one later, it
-        may have been restored meanwhile.
+        A store that has not named an era is in era 0: if it names one later,
+        it may have been restored in between.
         """
         if not values and not self._newest:
             self._newest = 0
-        elif values != self._unreadable:
-            _log.error('Bad era ignored.', values=repr(values)[:80])
-        self._unreadable = values
+        elif values != self._last_invalid:
+            _log.error(
+                'Ignored a malformed store era.', values=repr(values)[:80]
+            )
+        self._last_invalid = values
