--- a/galenahatch/platform/__init__.py
+++ b/galenahatch/platform/__init__.py
@@ -10,4 +10,4 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Clients of the platform: table, object store, VM list."""
+"""Adapters to the platform: settings, documents, headers and stores."""
--- a/galenahatch/platform/http.py
+++ b/galenahatch/platform/http.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What the clients of the platform share: one call, one typed failure."""
+"""Sends requests to the platform and turns errors into typed failures."""
 
 import asyncio
 import typing
@@ -25,17 +25,17 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """Status and body of an answer."""
+    """Status and body of a response."""
 
     status: int
     body: bytes
 
 
 def session(token: str) -> aiohttp.ClientSession:
-    """Return a session that bears the platform's token.
+    """Create a session that sends the platform's bearer token.
 
     Args:
-        token: bearer token, or empty for none.
+        token: bearer token; empty sends no token.
     """
     headers = {'Authorization': f'Bearer {token}'} if token else {}
     return aiohttp.ClientSession(
@@ -50,18 +50,18 @@
     url: str,
     body: bytes | None = None,
 ) -> Reply | errors.Failure:
-    """Return the answer of a store, or STORE_UNAVAILABLE.
+    """Send a request; return the response or STORE_UNAVAILABLE.
 
-    After a failure the call may have taken effect all the same.
+    A request that fails may still have taken effect.
     """
     try:
         async with client.request(method, url, data=body) as response:
             data = await response.content.read(MAX_BODY_BYTES + 1)
             while not response.content.at_eof():
-                more = await response.content.read(MAX_BODY_BYTES + 1)
-                data += more
+                chunk = await response.content.read(MAX_BODY_BYTES + 1)
+                data += chunk
                 if len(data) > MAX_BODY_BYTES:
-                    return _unavailable('answer too large')
+                    return _unavailable('response too large')
     except (aiohttp.ClientError, asyncio.TimeoutError, OSError) as error:
         return _unavailable(f'{type(error).__name__} {error}')
     if response.status >= 500:
--- a/galenahatch/platform/objects.py
+++ b/galenahatch/platform/objects.py
@@ -12,8 +12,8 @@
 
 """Client of the platform's object store.
 
-Objects here are written once under a name that is a digest or a fresh
-token, so writing one again is harmless.
+Each object is written once, under a digest or a unique token, so writing it
+again is idempotent.
 """
 
 import aiohttp
@@ -23,10 +23,10 @@
 
 
 class ObjectStore:
-    """The object store behind a base URL.
+    """Client of the object store at a base URL.
 
     Args:
-        client: session that bears the platform's token.
+        client: session that sends the platform's bearer token.
         url: base URL.
     """
 
@@ -35,7 +35,7 @@
         self._url = url.rstrip('/')
 
     async def put(self, key: str, body: bytes) -> errors.Failure | None:
-        """Store an object; None when it is stored."""
+        """Store an object; return None on success."""
         url = f'{self._url}/objects/{key}'
         reply = await http.call(self._client, 'PUT', url, body)
         if isinstance(reply, errors.Failure):
@@ -47,7 +47,7 @@
         return None
 
     async def get(self, key: str) -> bytes | errors.Failure:
-        """Return an object, or NOT_FOUND."""
+        """Return an object's contents, or NOT_FOUND."""
         url = f'{self._url}/objects/{key}'
         reply = await http.call(self._client, 'GET', url)
         if isinstance(reply, errors.Failure):
--- a/galenahatch/platform/table.py
+++ b/galenahatch/platform/table.py
@@ -12,9 +12,9 @@
 
 """Client of the platform's transactional table.
 
-The interface is narrow on purpose: read some keys, list a prefix, and
-commit one transaction whose conditions compare whole values. A commit
-that fails with STORE_UNAVAILABLE may have taken effect.
+The interface is deliberately small: read keys, scan a prefix, and commit a
+transaction whose conditions compare whole values. A commit that fails with
+STORE_UNAVAILABLE may still have taken effect.
 """
 
 import collections.abc
@@ -30,16 +30,15 @@
 
 _CONFLICT_STATUS: typing.Final = 409
 
-
 _Values = dict[str, bytes | None]
-_VALUES: typing.Final = msgspec.json.Decoder(_Values)
+_VALUES_DECODER: typing.Final = msgspec.json.Decoder(_Values)
 
 
 class Table:
-    """The table behind a base URL.
+    """Client of the table at a base URL.
 
     Args:
-        client: session that bears the platform's token.
+        client: session that sends the platform's bearer token.
         url: base URL.
     """
 
@@ -50,25 +49,25 @@
     async def read(
         self, keys: collections.abc.Sequence[str]
     ) -> dict[str, bytes | None] | errors.Failure:
-        """Return the value of each key; None where it is absent."""
+        """Return the value of each key, or None for an absent key."""
         body = msgspec.json.encode(list(keys))
         reply = await http.call(
             self._client, 'POST', f'{self._url}/read', body
         )
-        return _values(reply)
+        return _decode_values(reply)
 
     async def scan(
         self, prefix: str
     ) -> dict[str, bytes | None] | errors.Failure:
-        """Return the keys that begin with a prefix, with their values."""
+        """Return all keys with a prefix and their values."""
         query = parse.urlencode({'prefix': prefix})
         url = f'{self._url}/scan?{query}'
-        return _values(await http.call(self._client, 'GET', url))
+        return _decode_values(await http.call(self._client, 'GET', url))
 
     async def commit(
         self, transaction: transactions.Transaction
     ) -> transactions.Committed | transactions.Conflict | errors.Failure:
-        """Commit a transaction."""
+        """Commit a transaction, or return the current values on a conflict."""
         body = msgspec.json.encode(transaction)
         reply = await http.call(
             self._client, 'POST', f'{self._url}/commit', body
@@ -76,7 +75,7 @@
         if isinstance(reply, errors.Failure):
             return reply
         if reply.status == _CONFLICT_STATUS:
-            current = _values(http.Reply(200, reply.body))
+            current = _decode_values(http.Reply(200, reply.body))
             if isinstance(current, errors.Failure):
                 return current
             return transactions.Conflict(current)
@@ -87,7 +86,7 @@
         return transactions.Committed()
 
 
-def _values(
+def _decode_values(
     reply: http.Reply | errors.Failure,
 ) -> dict[str, bytes | None] | errors.Failure:
     if isinstance(reply, errors.Failure):
@@ -97,6 +96,6 @@
             errors.STORE_UNAVAILABLE, f'status {reply.status}'
         )
     try:
-        return _VALUES.decode(reply.body)
+        return _VALUES_DECODER.decode(reply.body)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.STORE_UNAVAILABLE, str(error))
--- a/galenahatch/platform/vms.py
+++ b/galenahatch/platform/vms.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Client of the platform's lagging list of VMs."""
+"""Client of the platform's VM list, which lags behind the actual VMs."""
 
 import typing
 
@@ -27,11 +27,11 @@
     """One VM.
 
     Attributes:
-        name: id that is never used again.
-        address: IP number.
-        data_centre: where it stands.
-        state: live or leaving.
-        group: system for those of the daemons, else upstream.
+        name: id of the VM, never reused.
+        address: IP address.
+        data_centre: data centre that hosts the VM.
+        state: "live" or "leaving".
+        group: "system" for VMs of the daemons, else "upstream".
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 
 class VmList(msgspec.Struct, frozen=True):
-    """The list at one version; an older version may come later."""
+    """The VM list at one version; a later read may return an older one."""
 
     version: int
     vms: tuple[Vm, ...]
@@ -52,10 +52,10 @@
 
 
 class VmListClient:
-    """The VM list behind a base URL.
+    """Client of the VM list at a base URL.
 
     Args:
-        client: session that bears the platform's token.
+        client: session that sends the platform's bearer token.
         url: base URL.
     """
 
@@ -64,7 +64,7 @@
         self._url = url.rstrip('/')
 
     async def read(self) -> VmList | errors.Failure:
-        """Return the list."""
+        """Read the VM list."""
         reply = await http.call(self._client, 'GET', f'{self._url}/vms')
         if isinstance(reply, errors.Failure):
             return reply
