--- a/galenahatch/platform/eras.py
+++ b/galenahatch/platform/eras.py
@@ -31,8 +31,7 @@
 
 
 def parse_era(values: collections.abc.Sequence[str]) -> int | None:
-    """Return the era in the header's values, or None if they name no single
-    valid one."""
+    """Return the era in the header's values, None unless exactly one."""
     distinct = {value.strip() for value in values}
     if len(distinct) != 1:
         return None
--- a/galenahatch/platform/store.py
+++ b/galenahatch/platform/store.py
@@ -10,15 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Client of the platform's store: rows, a feed of changes, transactions.
+"""Client of the platform's store: rows, a change feed, transactions.
 
-Values are bytes; versions are numbers of one counter of the whole store. A
-call that fails may have taken effect all the same, now or seconds later, if
-its conditions still hold then.
+Values are bytes; versions come from a single counter of the whole store. A
+call that fails may still take effect, even seconds later, if its conditions
+hold at that time.
 
-The store may come back from an older copy. What it had acknowledged since is
-lost, and the counter goes back; so each answer names its era
-(`core/versions`), and one of an era before the newest tells nothing.
+The store may be restored from a backup. Writes acknowledged since the backup
+are lost and the counter goes back, so each response names its era
+(`core/versions`); a response of an era before the newest is rejected.
 """
 
 import asyncio
@@ -35,21 +35,22 @@
 from galenahatch import timeouts
 
 CALL_TIMEOUT_S: typing.Final = 1.5
-"""Seconds for a call that does not wait. The platform promises answers in
-some ms; an answer that takes longer is lost or the store is away."""
-_NO_LIMIT: typing.Final = aiohttp.ClientTimeout(total=None)
-_FEED_SLACK: typing.Final = 0.7
-"""Seconds over the wait asked for after which a feed call is given up."""
-_MOST_BYTES: typing.Final = 16 * 1024 * 1024
+"""Seconds until a call without a long poll times out. The platform promises
+responses within a few ms; after this time the response is lost or the store
+is unavailable."""
+_NO_TIMEOUT: typing.Final = aiohttp.ClientTimeout(total=None)
+_FEED_MARGIN_S: typing.Final = 0.7
+"""Seconds that a feed call may take beyond the wait that it requested."""
+_MAX_RESPONSE_BYTES: typing.Final = 16 * 1024 * 1024
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row, or the news that it is gone.
+    """A row, or a notice that it was removed.
 
     Attributes:
-        ver: number of the store's version at its last change, which may be
-            of an earlier era.
-        removed: whether the row is gone; it has no value then.
+        ver: number of the store's version at the row's last change, which
+            may be of an earlier era.
+        removed: whether the row was removed; a removed row has no value.
     """
 
     key: str
@@ -59,12 +60,13 @@
 
 
 class Rows(msgspec.Struct, frozen=True):
-    """Rows as of one moment.
+    """A snapshot of rows.
 
     Attributes:
-        ver: number of the store's version then.
-        now_ms: the store's steady clock then.
-        era: of the store then.
+        ver: number of the store's version at the snapshot.
+        now_ms: the store's monotonic clock at the snapshot.
+        has_more: whether further pages follow.
+        era: era of the store at the snapshot.
     """
 
     rows: list[Row]
@@ -75,12 +77,12 @@
 
     @property
     def version(self) -> versions.Version:
-        """The store's version then."""
+        """The store's version at the snapshot."""
         return versions.Version(self.era, self.ver)
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """A transaction that was applied, and the version that it made."""
+    """An applied transaction and the store version that it created."""
 
     ver: int = 0
     now_ms: float = 0.0
@@ -88,23 +90,23 @@
 
     @property
     def version(self) -> versions.Version:
-        """The version that it made."""
+        """The store version that the transaction created."""
         return versions.Version(self.era, self.ver)
 
 
 @dataclasses.dataclass(frozen=True)
 class Conflict:
-    """A transaction that was not applied: a condition does not hold."""
+    """A transaction that was not applied because a condition failed."""
 
     rows: list[Row]
 
 
 class RowOperation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One row in a transaction: its condition, its value or its key.
+    """An operation on a row in a transaction: a condition, write or removal.
 
     Attributes:
-        ver: version that the row must have, 0 if it must not exist.
-        value: to be written.
+        ver: version that the row must have; 0 if the row must not exist.
+        value: value to write.
     """
 
     table: str
@@ -115,9 +117,9 @@
 
 
 class _Transaction(msgspec.Struct, frozen=True):
-    # The wire's name for the conditions of a transaction.
+    # Conditions of the transaction.
     expected: list[RowOperation]
-    # Rows to write, not keys only.
+    # Whole rows to write, despite the field's name.
     set_keys: list[RowOperation]
     remove: list[RowOperation]
 
@@ -128,19 +130,19 @@
     era: int
 
 
-_ROWS: typing.Final = msgspec.json.Decoder(Rows)
-_WRITTEN: typing.Final = msgspec.json.Decoder(Committed)
+_ROWS_DECODER: typing.Final = msgspec.json.Decoder(Rows)
+_COMMITTED_DECODER: typing.Final = msgspec.json.Decoder(Committed)
 
 
 class Store:
-    """The store at one address.
+    """Client of the store at an address.
 
     Args:
-        client: session.
-        address: `ip:port`.
+        client: HTTP session.
+        address: address as `ip:port`.
 
     Attributes:
-        eras: that its answers named.
+        eras: tracker of the eras that responses name.
     """
 
     def __init__(self, client: aiohttp.ClientSession, address: str) -> None:
@@ -149,10 +151,12 @@
         self.eras = eras.EraTracker()
 
     async def rows(self, table: str, part: str = '') -> Rows | errors.Failure:
-        """Return all rows of a part of a table, in pages of one version
-        each; the version is that of the first page, so that a feed from it
-        misses nothing."""
-        found: list[Row] = []
+        """Read all rows of a table part, page by page.
+
+        Each page is a snapshot at its own version. The result has the version
+        of the first page, so that a feed from there misses no change.
+        """
+        rows: list[Row] = []
         first: Rows | None = None
         start = ''
         while True:
@@ -164,14 +168,14 @@
                 return page
             first = first or page
             if page.era != first.era:
-                detail = 'restored between two pages'
+                detail = 'store restored between two pages'
                 return errors.Failure(errors.STORE_UNAVAILABLE, detail)
-            found.extend(page.rows)
+            rows.extend(page.rows)
             if not page.has_more or not page.rows:
                 return msgspec.structs.replace(
-                    first, rows=found, has_more=False
+                    first, rows=rows, has_more=False
                 )
-            # The range includes its first key: go on right behind the last.
+            # The range includes its first key, so start after the last key.
             start = page.rows[-1].key + '\0'
 
     async def changes(
@@ -179,11 +183,11 @@
     ) -> Rows | errors.Failure:
         """Return the rows of a table that changed after a version.
 
-        Returns HISTORY_GONE if the store no longer knows all of them.
+        Returns HISTORY_GONE if the store no longer has the full history.
 
         Args:
-            table: name.
-            after: version.
+            table: name of the table.
+            after: version after which changes are returned.
             wait: seconds that the store may wait for a change.
         """
         query = {
@@ -191,7 +195,7 @@
             'after': str(after),
             'wait_ms': str(int(wait * 1000)),
         }
-        return await self._read('rows-feed', query, wait + _FEED_SLACK)
+        return await self._read('rows-feed', query, wait + _FEED_MARGIN_S)
 
     async def transact(
         self,
@@ -199,36 +203,36 @@
         put: typing.Sequence[RowOperation] = (),
         remove: typing.Sequence[RowOperation] = (),
     ) -> Committed | Conflict | errors.Failure:
-        """Apply a transaction, all of it or nothing."""
-        call = _Transaction(list(expected), list(put), list(remove))
-        body = msgspec.json.encode(call)
+        """Apply a transaction atomically."""
+        transaction = _Transaction(list(expected), list(put), list(remove))
+        body = msgspec.json.encode(transaction)
         reply = await self._call('POST', 'rows-tx', body, CALL_TIMEOUT_S)
         if isinstance(reply, errors.Failure):
             return reply
         try:
             if reply.status == 412:
-                return Conflict(_ROWS.decode(reply.data).rows)
+                return Conflict(_ROWS_DECODER.decode(reply.data).rows)
             if reply.status == 200:
-                written = _WRITTEN.decode(reply.data)
-                return msgspec.structs.replace(written, era=reply.era)
+                committed = _COMMITTED_DECODER.decode(reply.data)
+                return msgspec.structs.replace(committed, era=reply.era)
         except msgspec.MsgspecError as error:
             return errors.Failure(errors.STORE_UNAVAILABLE, str(error))
-        return _refused(reply.status)
+        return _failure_of_status(reply.status)
 
     async def _read(
-        self, call: str, query: dict[str, str], timeout: float
+        self, endpoint: str, query: dict[str, str], timeout: float
     ) -> Rows | errors.Failure:
-        path = f'{call}?{parse.urlencode(query)}'
+        path = f'{endpoint}?{parse.urlencode(query)}'
         reply = await self._call('GET', path, None, timeout)
         if isinstance(reply, errors.Failure):
             return reply
         if reply.status == 410:
             return errors.Failure(errors.HISTORY_GONE, path)
         if reply.status != 200:
-            return _refused(reply.status)
+            return _failure_of_status(reply.status)
         try:
-            found = _ROWS.decode(reply.data)
-            return msgspec.structs.replace(found, era=reply.era)
+            rows = _ROWS_DECODER.decode(reply.data)
+            return msgspec.structs.replace(rows, era=reply.era)
         except msgspec.MsgspecError as error:
             return errors.Failure(errors.STORE_UNAVAILABLE, str(error))
 
@@ -241,26 +245,30 @@
             async with (
                 timeouts.limit(timeout),
                 self._client.request(
-                    method, url, data=body, headers=headers, timeout=_NO_LIMIT
+                    method,
+                    url,
+                    data=body,
+                    headers=headers,
+                    timeout=_NO_TIMEOUT,
                 ) as response,
             ):
-                data = await response.content.read(_MOST_BYTES)
+                data = await response.content.read(_MAX_RESPONSE_BYTES)
                 while not response.content.at_eof():
-                    data += await response.content.read(_MOST_BYTES)
-                    if len(data) > _MOST_BYTES:
-                        detail = f'answer of over {_MOST_BYTES} bytes'
+                    data += await response.content.read(_MAX_RESPONSE_BYTES)
+                    if len(data) > _MAX_RESPONSE_BYTES:
+                        detail = f'response over {_MAX_RESPONSE_BYTES} bytes'
                         return errors.Failure(errors.STORE_UNAVAILABLE, detail)
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError) as error:
             detail = f'{type(error).__name__} {error}'
             return errors.Failure(errors.STORE_UNAVAILABLE, detail)
         era = self.eras.observe(response.headers.getall(eras.HEADER, ()))
         if era < self.eras.newest:
-            detail = f'answer of era {era}, the newest is {self.eras.newest}'
+            detail = f'stale era {era}, the newest is {self.eras.newest}'
             return errors.Failure(errors.STORE_UNAVAILABLE, detail)
         return _Reply(response.status, data, era)
 
 
-def _refused(status: int) -> errors.Failure:
+def _failure_of_status(status: int) -> errors.Failure:
     if status == 429:
         return errors.Failure(errors.STORE_BUSY, 'status 429')
     return errors.Failure(errors.STORE_UNAVAILABLE, f'status {status}')
