--- a/galenahatch/platform/documents.py
+++ b/galenahatch/platform/documents.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Decodes what operators and upstreams write into the store.
+"""Decodes the documents that operators and upstreams write into the store.
 
-Names in these documents are the platform's. A document that does not decode
-is a failure with the field that is wrong. The last good configuration stays
-in force; an upstream's entry that is a failure names no upstream to use,
-whatever the entry before it said.
+The platform defines the field names. A document that fails to decode yields
+a failure that names the invalid field. The last valid configuration stays in
+force; an upstream whose entry is invalid is not used, whatever its previous
+entry said.
 """
 
 import ipaddress
@@ -34,18 +34,18 @@
 CONFIG_KEY: typing.Final = 'config'
 UPSTREAM_TABLE: typing.Final = 'servers'
 
-_MOST_SLOTS: typing.Final = 65_536
-"""Requests at once beyond which an entry is taken for nonsense; there are no
-more ports to come from."""
-_MOST_BORN: typing.Final = 4_102_444_800_000
-"""Unix milliseconds of the year 2100: a start beyond is taken for nonsense,
-since no true start would come after it."""
-_MOST_PORT: typing.Final = 65_535
-_MOST_NAME: typing.Final = 200
-"""Characters of a customer's name, which goes into a header."""
-_MOST_UNITS: typing.Final = 1e12
-"""Units beyond which a quota is taken for nonsense."""
-_MOST_PRIORITY: typing.Final = 100
+_MAX_SLOTS: typing.Final = 65_536
+"""Concurrent requests above which an entry is rejected; there are no more
+source ports than that."""
+_MAX_START_MS: typing.Final = 4_102_444_800_000
+"""Unix milliseconds of the year 2100. A later start is rejected, since no
+real restart could follow it."""
+_MAX_PORT: typing.Final = 65_535
+_MAX_NAME_CHARS: typing.Final = 200
+"""Characters in a customer's name, which is sent in a header."""
+_MAX_QUOTA_UNITS: typing.Final = 1e12
+"""Units above which a quota is rejected as invalid."""
+_MAX_PRIORITY: typing.Final = 100
 
 
 class _Target(msgspec.Struct, frozen=True):
@@ -62,10 +62,10 @@
     target_latency_ms: float = 1000.0
     priority: int = 5
     service: str | None = None
-    # Several services, each with its share; stands in place of `service`.
+    # Weighted services; takes precedence over `service`.
     backends: list[_Target] | None = None
     max_attempts: int = 1
-    # Requests carry a prompt for a model.
+    # Whether requests carry a prompt for a model.
     sticky: bool = False
     resumable: bool = False
     gap_aim_ms: float = 1000.0
@@ -100,7 +100,7 @@
     priority: int | None = None
     unit: str = customers.Unit.REQUESTS.value
     plain_tokens: float = 0.0
-    # Units of the quota; a rate of 0 stands for no limit.
+    # In units of the quota; a rate of 0 means no limit.
     rate_per_s: float = 0.0
     burst: float = 0.0
 
@@ -118,37 +118,37 @@
     address: str
     # Data centre.
     zone: str
-    # Of its software.
+    # Software version.
     version: str
     slots: int
     # `ready` or `draining`.
     state: str
-    # Milliseconds for which it is still slow after its start.
+    # Remaining milliseconds of slow operation after the start.
     cold_left_ms: float
-    # Counts what it writes here, not the orders that it took.
+    # Counts writes of this entry, not accepted orders.
     seq_no: int
-    # Unix milliseconds of its start; older upstreams do not tell it.
+    # Start in Unix milliseconds; older upstreams do not report it.
     born: int | msgspec.UnsetType = msgspec.UNSET
     stage: str | None = None
 
 
-_CONFIG: typing.Final = msgspec.json.Decoder(_Config)
-_UPSTREAM: typing.Final = msgspec.json.Decoder(_Upstream)
+_CONFIG_DECODER: typing.Final = msgspec.json.Decoder(_Config)
+_UPSTREAM_DECODER: typing.Final = msgspec.json.Decoder(_Upstream)
 
 
 def decode_configuration(data: bytes) -> routes.Configuration | errors.Failure:
-    """Return the configuration in a document."""
+    """Decode and validate a configuration document."""
     try:
-        raw = _CONFIG.decode(data)
+        raw = _CONFIG_DECODER.decode(data)
         return routes.Configuration(
             version=raw.version,
-            routes=tuple(_route(item) for item in raw.routes),
+            routes=tuple(_convert_route(item) for item in raw.routes),
             services={
-                ids.ServiceName(item.name): _service(item)
+                ids.ServiceName(item.name): _convert_service(item)
                 for item in raw.services
             },
-            limits=_limits(raw.limits),
-            customers=_customers(raw.tenants),
+            limits=_convert_limits(raw.limits),
+            customers=_convert_customers(raw.tenants),
         )
     except (msgspec.MsgspecError, ValueError) as error:
         return errors.Failure(errors.BAD_CONFIGURATION, str(error))
@@ -157,68 +157,70 @@
 def decode_upstream(
     key: str, data: bytes
 ) -> upstreams.Upstream | errors.Failure:
-    """Return an upstream from its row; never raises, whatever the bytes.
+    """Decode an upstream's row; never raise, even on arbitrary bytes.
 
     Args:
-        key: of the row, which is the id of the upstream.
+        key: key of the row, which is the upstream's instance id.
         data: value of the row.
     """
     try:
-        raw = _UPSTREAM.decode(data)
+        raw = _UPSTREAM_DECODER.decode(data)
         return upstreams.Upstream(
-            id=_incarnation(key, raw.born),
+            id=_upstream_id(key, raw.born),
             service=ids.ServiceName(raw.service),
-            address=_address(raw.address),
+            address=_checked_address(raw.address),
             data_centre=ids.DataCentre(raw.zone),
-            slots=_slots(raw.slots),
-            leaving=_leaving(raw.state),
+            slots=_checked_slots(raw.slots),
+            leaving=_is_draining(raw.state),
             stage=upstreams.Stage(raw.stage) if raw.stage else None,
         )
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return errors.Failure(errors.BAD_UPSTREAM, f'{key}: {error}')
 
 
-def checked_start_ms(told: int | msgspec.UnsetType) -> int:
-    """Return the moment at which an upstream says that it started.
+def checked_start_ms(reported: int | msgspec.UnsetType) -> int:
+    """Return the start time that an upstream reports, in Unix milliseconds.
 
     Raises:
-        ValueError: it can't be one.
+        ValueError: the time is out of range.
     """
-    if told is msgspec.UNSET:
+    if reported is msgspec.UNSET:
         return incarnations.UNKNOWN_START
-    if not 0 <= told <= _MOST_BORN:
-        raise ValueError(f'born: {told}')
-    return told
+    if not 0 <= reported <= _MAX_START_MS:
+        raise ValueError(f'born: {reported}')
+    return reported
 
 
-def _incarnation(key: str, told: int | msgspec.UnsetType) -> ids.UpstreamId:
+def _upstream_id(
+    key: str, reported: int | msgspec.UnsetType
+) -> ids.UpstreamId:
     return incarnations.upstream_id(
-        ids.InstanceId(key), checked_start_ms(told)
+        ids.InstanceId(key), checked_start_ms(reported)
     )
 
 
-def _address(address: str) -> str:
+def _checked_address(address: str) -> str:
     host, _, port = address.rpartition(':')
     ipaddress.ip_address(host.strip('[]'))
     is_number = port.isascii() and port.isdigit()
-    if not is_number or not 0 < int(port) <= _MOST_PORT:
+    if not is_number or not 0 < int(port) <= _MAX_PORT:
         raise ValueError(f'address: {address}')
     return address
 
 
-def _slots(slots: int) -> int:
-    if not 0 < slots <= _MOST_SLOTS:
+def _checked_slots(slots: int) -> int:
+    if not 0 < slots <= _MAX_SLOTS:
         raise ValueError(f'slots: {slots}')
     return slots
 
 
-def _leaving(state: str) -> bool:
+def _is_draining(state: str) -> bool:
     if state not in ('ready', 'draining'):
         raise ValueError(f'state: {state}')
     return state == 'draining'
 
 
-def _route(raw: _Route) -> routes.Route:
+def _convert_route(raw: _Route) -> routes.Route:
     if raw.backends:
         targets = tuple(
             routes.Target(ids.ServiceName(item.service), item.weight)
@@ -248,49 +250,51 @@
     )
 
 
-def _customers(
+def _convert_customers(
     raw: list[_Tenant] | None,
 ) -> customers.Customers | None:
-    """Return the customers; None if the document does not speak of any.
+    """Convert the customers; return None if the document lists none.
 
-    Keys are named by their digests.
+    Keys appear in errors by their digests only.
 
     Raises:
-        ValueError: a field has a wrong value.
+        ValueError: a field has an invalid value.
     """
     if raw is None:
         return None
     names: set[str] = set()
     keys: set[ids.KeyDigest] = set()
-    found = []
+    converted = []
     for item in raw:
-        customer = _customer(item)
+        customer = _convert_customer(item)
         if customer.name in names:
-            raise ValueError(f'tenant {customer.name}: name held twice')
-        twice = sorted(keys & customer.keys)
-        if twice:
-            raise ValueError(f'tenant {item.name}: key {twice[0]} held twice')
+            raise ValueError(f'tenant {customer.name}: duplicate name')
+        duplicates = sorted(keys & customer.keys)
+        if duplicates:
+            raise ValueError(
+                f'tenant {item.name}: duplicate key {duplicates[0]}'
+            )
         names.add(customer.name)
         keys |= customer.keys
-        found.append(customer)
-    return customers.Customers(found)
+        converted.append(customer)
+    return customers.Customers(converted)
 
 
-def _customer(raw: _Tenant) -> customers.Customer:
+def _convert_customer(raw: _Tenant) -> customers.Customer:
     is_name = raw.name.isascii() and raw.name.isprintable()
-    if not is_name or not 0 < len(raw.name.strip()) <= _MOST_NAME:
-        raise ValueError(f'tenant name: {raw.name[:_MOST_NAME]!r}')
+    if not is_name or not 0 < len(raw.name.strip()) <= _MAX_NAME_CHARS:
+        raise ValueError(f'tenant name: {raw.name[:_MAX_NAME_CHARS]!r}')
     for field in ('plain_tokens', 'rate_per_s', 'burst'):
         value = getattr(raw, field)
-        if not 0 <= value <= _MOST_UNITS:
+        if not 0 <= value <= _MAX_QUOTA_UNITS:
             raise ValueError(f'tenant {raw.name}: {field}: {value}')
-    if raw.priority is not None and not 0 <= raw.priority <= _MOST_PRIORITY:
+    if raw.priority is not None and not 0 <= raw.priority <= _MAX_PRIORITY:
         raise ValueError(f'tenant {raw.name}: priority: {raw.priority}')
     if not all(raw.api_keys):
-        raise ValueError(f'tenant {raw.name}: api_keys: an empty one')
+        raise ValueError(f'tenant {raw.name}: api_keys: empty key')
     keys = frozenset(customers.key_digest(key) for key in raw.api_keys)
     if len(keys) < len(raw.api_keys):
-        raise ValueError(f'tenant {raw.name}: api_keys: one held twice')
+        raise ValueError(f'tenant {raw.name}: api_keys: duplicate key')
     quota = None
     if raw.rate_per_s:
         quota = customers.Quota(raw.rate_per_s, raw.burst)
@@ -298,20 +302,20 @@
         name=ids.CustomerName(raw.name),
         keys=keys,
         priority=raw.priority,
-        unit=_unit(raw),
+        unit=_parse_unit(raw),
         quota=quota,
         default_tokens=raw.plain_tokens,
     )
 
 
-def _unit(raw: _Tenant) -> customers.Unit:
+def _parse_unit(raw: _Tenant) -> customers.Unit:
     try:
         return customers.Unit(raw.unit)
     except ValueError:
         raise ValueError(f'tenant {raw.name}: unit: {raw.unit!r}') from None
 
 
-def _service(raw: _Service) -> routes.Service:
+def _convert_service(raw: _Service) -> routes.Service:
     engine = None
     if raw.engine is not None:
         engine = routes.EngineSpec(
@@ -329,7 +333,7 @@
     )
 
 
-def _limits(raw: _Limits) -> routes.Limits:
+def _convert_limits(raw: _Limits) -> routes.Limits:
     return routes.Limits(
         max_header_bytes=raw.max_header_bytes,
         max_body_bytes=raw.max_body_bytes,
--- a/galenahatch/test/test_keys.py
+++ b/galenahatch/test/test_keys.py
@@ -264,7 +264,7 @@
     fleet.put('op', 'config', config)
     vm = fleet.vms[0]
     fleets.eventually(
-        lambda: 'held twice' in vm.log.read_text(), 'kept out is told'
+        lambda: 'duplicate key' in vm.log.read_text(), 'kept out is told'
     )
     assert fleet.ask('/once/x', **_bearer(_SHOP)).status == 200
 
