--- a/galenahatch/platform/wire.py
+++ b/galenahatch/platform/wire.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Headers of requests and answers: decoded once, and written once.
+"""Decodes and encodes the headers of requests and responses.
 
-Names that begin with the platform's prefix are spelled only here. What the
-system tells an upstream is never taken from a caller: those headers are
-dropped from a caller's request before it goes on.
+Header names with the platform's prefix appear only here. Headers that the
+gateway sets for an upstream are never accepted from a caller: they are
+removed from the caller's request before it is forwarded.
 """
 
 import dataclasses
@@ -29,18 +29,18 @@
 from galenahatch.gateway import calls
 
 _PREFIX: typing.Final = 'X-Galenahatch-'
-_REQUEST: typing.Final = _PREFIX + 'Request-Id'
-_PATIENCE: typing.Final = _PREFIX + 'Deadline-Ms'
+_REQUEST_ID: typing.Final = _PREFIX + 'Request-Id'
+_DEADLINE: typing.Final = _PREFIX + 'Deadline-Ms'
 _MODEL: typing.Final = _PREFIX + 'Model'
-_TOKENS: typing.Final = _PREFIX + 'Token-Count'
-_PARTS: typing.Final = _PREFIX + 'Prompt-Prefix'
-_HINT: typing.Final = _PREFIX + 'Length-Hint'
+_TOKEN_COUNT: typing.Final = _PREFIX + 'Token-Count'
+_PROMPT_PREFIX: typing.Final = _PREFIX + 'Prompt-Prefix'
+_LENGTH_HINT: typing.Final = _PREFIX + 'Length-Hint'
 _LAST_EVENT: typing.Final = 'Last-Event-Id'
 _CREDENTIALS: typing.Final = 'Authorization'
 _CUSTOMER: typing.Final = _PREFIX + 'Tenant'
 
 INSTANCE_HEADER: typing.Final = _PREFIX + 'Expect-Instance'
-"""The only upstream that may take a request or an order."""
+"""The only instance that may execute a request or an order."""
 _STAGE: typing.Final = _PREFIX + 'Stage'
 _KV_SOURCE: typing.Final = _PREFIX + 'Kv-Source'
 _PRIORITY: typing.Final = _PREFIX + 'Request-Priority'
@@ -49,18 +49,18 @@
 _NOT_EXECUTED: typing.Final = _PREFIX + 'Not-Executed'
 _LOAD: typing.Final = _PREFIX + 'Instance-Load'
 _RATE_LIMIT: typing.Final = 'Server-Limit'
-_LEAVING: typing.Final = 'Server-Leaving'
+_DRAINING: typing.Final = 'Server-Leaving'
 _RETRY_AFTER: typing.Final = 'Retry-After'
-_DECIMAL: typing.Final = re.compile(r'[0-9]{1,15}(\.[0-9]{1,15})?')
+_DECIMAL_FORMAT: typing.Final = re.compile(r'[0-9]{1,15}(\.[0-9]{1,15})?')
 
-_SYSTEM_ONLY: typing.Final = frozenset(
+_GATEWAY_ONLY: typing.Final = frozenset(
     name.lower()
     for name in (
         INSTANCE_HEADER,
         _STAGE,
         _KV_SOURCE,
         _PRIORITY,
-        _PATIENCE,
+        _DEADLINE,
         _PREFIX + 'Kv-Hold',
         _PREFIX + 'Pin-Ms',
         _PREFIX + 'Kv-Backup',
@@ -69,9 +69,9 @@
         _PREFIX + 'Kv-Fetch',
     )
 )
-"""Set by the system alone; a caller's are dropped."""
+"""Set only by the gateway; removed from callers' requests."""
 
-_ONE_CONNECTION: typing.Final = frozenset(
+_HOP_BY_HOP: typing.Final = frozenset(
     (
         'connection',
         'content-length',
@@ -86,14 +86,14 @@
         'upgrade',
     )
 )
-"""Concern one connection; never passed on."""
+"""Headers of a single connection; never forwarded."""
 
-_LAST_PRIORITY: typing.Final = 9
-"""The rank of what engines serve last."""
-_MOST_DIGITS: typing.Final = 15
-"""Of a number that is taken for one: beyond, sums are no longer exact."""
-_SHOWN: typing.Final = 40
-"""Characters of a malformed value that are logged."""
+_LOWEST_PRIORITY: typing.Final = 9
+"""Priority value that engines serve last."""
+_MAX_DIGITS: typing.Final = 15
+"""Digits in a valid number; sums of longer ones are not exact."""
+_MAX_LOGGED_CHARS: typing.Final = 40
+"""Characters of a malformed value to include in an error."""
 
 RawHeaders = typing.Iterable[tuple[bytes, bytes]]
 
@@ -101,31 +101,31 @@
 def decode_call(
     method: str, target: str, raw: RawHeaders, body: bytes, arrived_at: float
 ) -> calls.Call:
-    """Return a caller's request.
+    """Decode a caller's request.
 
     Args:
-        method: as sent.
-        target: path and query as sent.
-        raw: headers as sent.
-        body: whole.
-        arrived_at: monotonic seconds at which its head had been read.
+        method: HTTP method as received.
+        target: path and query as received.
+        raw: headers as received.
+        body: complete body.
+        arrived_at: monotonic time in seconds when the head had been read.
     """
-    headers = _end_to_end(raw)
-    patience = _number(headers.get(_PATIENCE, ''))
-    for name in _SYSTEM_ONLY:
+    headers = _end_to_end_headers(raw)
+    timeout_ms = _parse_number(headers.get(_DEADLINE, ''))
+    for name in _GATEWAY_ONLY:
         headers.popall(name, None)
     return calls.Call(
-        id=headers.get(_REQUEST, ''),
+        id=headers.get(_REQUEST_ID, ''),
         method=method,
         host=headers.get('Host', ''),
         target=target,
         headers=headers,
         body=body,
         arrived_at=arrived_at,
-        caller_timeout=patience / 1000 if patience is not None else None,
-        prompt=_prompt(headers),
+        caller_timeout=timeout_ms / 1000 if timeout_ms is not None else None,
+        prompt=_parse_prompt(headers),
         last_event_id=headers.get(_LAST_EVENT, ''),
-        tokens=_tokens(headers),
+        tokens=_total_tokens(headers),
         credentials=tuple(headers.getall(_CREDENTIALS, ())),
     )
 
@@ -133,13 +133,14 @@
 def with_customer(
     request: calls.Call, customer: customers.Customer | None
 ) -> calls.Call:
-    """Return a request whose caller is known.
+    """Return an authenticated copy of a request.
 
-    Neither its credentials nor what it says of its customer go on.
+    The caller's credentials and customer header are removed, so neither is
+    forwarded.
 
     Args:
-        request: as it came.
-        customer: whom the caller belongs to; None on an anonymous route.
+        request: request as received.
+        customer: customer of the caller; None on an anonymous route.
     """
     headers = request.headers.copy()
     headers.popall(_CREDENTIALS, None)
@@ -156,138 +157,147 @@
 
 
 def upstream_headers(
-    request: calls.Call, directions: calls.ForwardingOptions
+    request: calls.Call, options: calls.ForwardingOptions
 ) -> 'multidict.CIMultiDict[str]':
-    """Return the headers of a request to an upstream."""
+    """Return the headers of a request to forward to an upstream."""
     headers = request.headers.copy()
-    headers[INSTANCE_HEADER] = incarnations.instance_id(directions.upstream)
-    if directions.time_left is not None:
-        left = max(1, int(directions.time_left * 1000))
-        headers[_PATIENCE] = str(left)
-    if directions.prefill_only:
+    headers[INSTANCE_HEADER] = incarnations.instance_id(options.upstream)
+    if options.time_left is not None:
+        left_ms = max(1, int(options.time_left * 1000))
+        headers[_DEADLINE] = str(left_ms)
+    if options.prefill_only:
         headers[_STAGE] = 'prefill'
-    if directions.kv_source:
-        headers[_KV_SOURCE] = directions.kv_source
-    if directions.last_event_id:
-        headers[_LAST_EVENT] = directions.last_event_id
-    if directions.priority is not None:
-        headers[_PRIORITY] = str(min(directions.priority, _LAST_PRIORITY))
+    if options.kv_source:
+        headers[_KV_SOURCE] = options.kv_source
+    if options.last_event_id:
+        headers[_LAST_EVENT] = options.last_event_id
+    if options.priority is not None:
+        headers[_PRIORITY] = str(min(options.priority, _LOWEST_PRIORITY))
     return headers
 
 
 def decode_response_head(status: int, raw: RawHeaders) -> calls.ResponseHead:
-    """Return the head of an upstream's answer."""
-    headers = _end_to_end(raw)
+    """Decode the head of an upstream's response."""
+    headers = _end_to_end_headers(raw)
     return calls.ResponseHead(
         status=status,
         headers=headers,
-        request_id=headers.get(_REQUEST, ''),
+        request_id=headers.get(_REQUEST_ID, ''),
         is_signed=_SIGNATURE in headers,
         not_executed=_NOT_EXECUTED in headers or status == 421,
-        load=_load(headers.get(_LOAD, '')),
+        load=_parse_load(headers.get(_LOAD, '')),
         is_encoded=headers.get('Content-Encoding', 'identity') != 'identity',
-        rate_limit=_lowest(headers, _RATE_LIMIT),
-        leaving=_leaving(headers),
-        pause=_lowest(headers, _RETRY_AFTER) if status == 503 else None,
+        rate_limit=_lowest_number(headers, _RATE_LIMIT),
+        leaving=_announces_drain(headers),
+        pause=_lowest_number(headers, _RETRY_AFTER) if status == 503 else None,
     )
 
 
 def local_response_headers(
     request: str, status: int
 ) -> 'multidict.CIMultiDict[str]':
-    """Return the headers of an answer that the system makes itself."""
+    """Return the headers of a response that the gateway generates."""
     headers: multidict.CIMultiDict[str] = multidict.CIMultiDict()
     if request:
-        headers[_REQUEST] = request
+        headers[_REQUEST_ID] = request
     if status == 401:
         headers['WWW-Authenticate'] = 'Bearer'
     return headers
 
 
-def _end_to_end(raw: RawHeaders) -> 'multidict.CIMultiDict[str]':
+def _end_to_end_headers(raw: RawHeaders) -> 'multidict.CIMultiDict[str]':
     headers: multidict.CIMultiDict[str] = multidict.CIMultiDict()
-    named: set[str] = set()
+    connection_options: set[str] = set()
     for raw_name, raw_value in raw:
         name = raw_name.decode('latin-1')
         value = raw_value.decode('utf-8', 'surrogateescape')
         if name.lower() == 'connection':
-            named.update(v.strip().lower() for v in value.split(','))
+            connection_options.update(
+                v.strip().lower() for v in value.split(',')
+            )
         headers.add(name, value)
-    for name in _ONE_CONNECTION | named:
+    for name in _HOP_BY_HOP | connection_options:
         headers.popall(name, None)
     return headers
 
 
-def _sizes(headers: 'multidict.CIMultiDict[str]') -> tuple[int, int] | None:
-    """Return the tokens of the prompt, and at most of the answer."""
-    sizes = headers.get(_TOKENS, '').split(',')
-    numbers = [_number(size.strip()) for size in sizes]
+def _token_counts(
+    headers: 'multidict.CIMultiDict[str]',
+) -> tuple[int, int] | None:
+    """Return the prompt's token count and the output token limit."""
+    counts = headers.get(_TOKEN_COUNT, '').split(',')
+    numbers = [_parse_number(count.strip()) for count in counts]
     if len(numbers) != 2 or None in numbers:
         return None
-    tokens, most = (int(number or 0) for number in numbers)
-    return tokens, most
+    tokens, max_output = (int(number or 0) for number in numbers)
+    return tokens, max_output
 
 
-def _tokens(headers: 'multidict.CIMultiDict[str]') -> int | None:
-    sizes = _sizes(headers)
-    return sum(sizes) if sizes is not None else None
+def _total_tokens(headers: 'multidict.CIMultiDict[str]') -> int | None:
+    counts = _token_counts(headers)
+    return sum(counts) if counts is not None else None
 
 
-def _prompt(
+def _parse_prompt(
     headers: 'multidict.CIMultiDict[str]',
 ) -> calls.Prompt | None:
-    sizes = _sizes(headers)
-    if sizes is None or _MODEL not in headers:
+    counts = _token_counts(headers)
+    if counts is None or _MODEL not in headers:
         return None
-    tokens, most = sizes
-    last = headers.get(_PARTS, '').rsplit(',', 1)[-1]
-    hint = _number(headers.get(_HINT, ''))
+    tokens, max_output = counts
+    last_block = headers.get(_PROMPT_PREFIX, '').rsplit(',', 1)[-1]
+    length_hint = _parse_number(headers.get(_LENGTH_HINT, ''))
     return calls.Prompt(
         tokens=tokens,
-        max_output=most,
-        estimated_output=int(hint) if hint is not None else None,
-        last_block_id=last.partition(':')[0].strip(),
+        max_output=max_output,
+        estimated_output=int(length_hint) if length_hint is not None else None,
+        last_block_id=last_block.partition(':')[0].strip(),
     )
 
 
-def _load(text: str) -> int | None:
-    """Return running and waiting requests; the third number is slots."""
-    numbers = [_number(part.strip()) for part in text.split(',')]
+def _parse_load(text: str) -> int | None:
+    """Return the sum of running and waiting requests.
+
+    A third number, the slots, is ignored.
+    """
+    numbers = [_parse_number(part.strip()) for part in text.split(',')]
     if len(numbers) < 2 or numbers[0] is None or numbers[1] is None:
         return None
     return int(numbers[0] + numbers[1])
 
 
-def _lowest(
+def _lowest_number(
     headers: 'multidict.CIMultiDict[str]', name: str
 ) -> float | None | errors.Failure:
-    """Return the lowest decimal number of a header; None without it."""
+    """Return the lowest number in a header; None if it is absent."""
     texts = [text.strip() for text in headers.getall(name, ())]
     if not texts:
         return None
-    numbers = [float(text) for text in texts if _DECIMAL.fullmatch(text)]
+    numbers = [
+        float(text) for text in texts if _DECIMAL_FORMAT.fullmatch(text)
+    ]
     if numbers:
         return min(numbers)
-    return _malformed(name, texts[0], 'a decimal number')
+    return _malformed_header(name, texts[0], 'a decimal number')
 
 
-def _leaving(
+def _announces_drain(
     headers: 'multidict.CIMultiDict[str]',
 ) -> bool | errors.Failure:
-    """Return whether an upstream says that it leaves."""
-    texts = {text.strip() for text in headers.getall(_LEAVING, ())}
+    """Return whether an upstream announces that it is draining."""
+    texts = {text.strip() for text in headers.getall(_DRAINING, ())}
     if '1' in texts:
         return True
-    odd = sorted(texts - {'0'})
-    return _malformed(_LEAVING, odd[0], '1') if odd else False
+    invalid = sorted(texts - {'0'})
+    return _malformed_header(_DRAINING, invalid[0], '1') if invalid else False
 
 
-def _malformed(name: str, text: str, expected: str) -> errors.Failure:
-    detail = f'{name} is {text[:_SHOWN]!r}, expected {expected}'
+def _malformed_header(name: str, text: str, expected: str) -> errors.Failure:
+    detail = f'{name} is {text[:_MAX_LOGGED_CHARS]!r}, expected {expected}'
     return errors.Failure(errors.BAD_UPSTREAM, detail)
 
 
-def _number(text: str) -> float | None:
-    if not text.isascii() or not text.isdigit() or len(text) > _MOST_DIGITS:
+def _parse_number(text: str) -> float | None:
+    if not text.isascii() or not text.isdigit() or len(text) > _MAX_DIGITS:
         return None
     return float(text)
