--- a/galenahatch/platform/engines.py
+++ b/galenahatch/platform/engines.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Calls to model engines beside the requests of callers."""
+"""Encodes and decodes control calls to model engines."""
 
 import dataclasses
 import typing
@@ -34,24 +34,25 @@
     queued: int = 0
     kv_used: int = 0
     busy: bool = False
-    # Orders taken since its start.
+    # Orders accepted since its start.
     seq_no: int = 0
-    # Unix milliseconds of its start.
+    # Start in Unix milliseconds.
     born: int | msgspec.UnsetType = msgspec.UNSET
 
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What an engine tells of itself, up to a second old.
+    """An engine's report on its state, up to a second old.
 
     Attributes:
-        active: requests that run.
-        queued: requests that wait.
-        kv_used: tokens of memory that can't yield.
-        stage: that it is in.
-        executing_order: whether an order is being carried out.
-        orders_accepted: orders that it has taken since its start.
-        started_ms: Unix milliseconds of its start, or `incarnations.UNKNOWN`.
+        active: number of running requests.
+        queued: number of waiting requests.
+        kv_used: KV cache tokens that can't be evicted.
+        stage: current stage.
+        executing_order: whether the engine is executing an order.
+        orders_accepted: number of orders accepted since the engine's start.
+        started_ms: start in Unix milliseconds, or
+            `incarnations.UNKNOWN_START`.
     """
 
     active: int
@@ -63,7 +64,7 @@
     started_ms: int = incarnations.UNKNOWN_START
 
     def may_come_from(self, upstream: ids.UpstreamId) -> bool:
-        """Return whether it may come from a certain start."""
+        """Return whether the report may come from an incarnation."""
         unknown = incarnations.UNKNOWN_START
         return self.started_ms in (
             unknown,
@@ -76,7 +77,7 @@
     stage: str
     holder: str
     fence: int
-    # Orders that the engine must have taken until then.
+    # Number of orders that the engine must have accepted before this one.
     expected: int
 
 
@@ -89,25 +90,25 @@
     """A finished prefill.
 
     Attributes:
-        handle: names its result; can be taken once.
+        handle: identifier of the KV cache; can be used once.
     """
 
     handle: str
 
 
-_REPORT: typing.Final = msgspec.json.Decoder(_Report)
-_PREFILLED: typing.Final = msgspec.json.Decoder(_Prefilled)
+_REPORT_DECODER: typing.Final = msgspec.json.Decoder(_Report)
+_PREFILLED_DECODER: typing.Final = msgspec.json.Decoder(_Prefilled)
 
 
 def handle_path(handle: str) -> str:
-    """Return the path at which a handle is freed."""
+    """Return the path that frees a handle."""
     return f'/kv-handle/{handle}'
 
 
 def decode_report(data: bytes) -> Report | errors.Failure:
-    """Return the report in a body."""
+    """Decode a report."""
     try:
-        raw = _REPORT.decode(data)
+        raw = _REPORT_DECODER.decode(data)
         stage = upstreams.Stage(raw.stage) if raw.stage else None
         started_ms = documents.checked_start_ms(raw.born)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -124,29 +125,31 @@
 
 
 def decode_prefill_result(data: bytes) -> PrefillResult | errors.Failure:
-    """Return the result of a prefill in a body."""
+    """Decode the result of a prefill."""
     try:
-        return PrefillResult(_PREFILLED.decode(data).kv_handle)
+        return PrefillResult(_PREFILLED_DECODER.decode(data).kv_handle)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
 
 def encode_stage_order(
-    stage: str, holder: str, fence: int, taken: int
+    stage: str, holder: str, fence: int, orders_accepted: int
 ) -> bytes:
-    """Return the body of an order to change the stage.
+    """Encode an order to change the stage.
 
     Args:
-        stage: the new one.
-        holder: of the lease.
-        fence: fencing number of the lease.
-        taken: orders that the engine has taken so far.
+        stage: new stage.
+        holder: holder of the lease.
+        fence: fencing token of the lease.
+        orders_accepted: number of orders that the engine has accepted.
     """
-    return msgspec.json.encode(_Order('stage', stage, holder, fence, taken))
+    return msgspec.json.encode(
+        _Order('stage', stage, holder, fence, orders_accepted)
+    )
 
 
 def instance_headers(upstream: ids.UpstreamId) -> dict[str, str]:
-    """Return the headers of a call that only one upstream may take."""
+    """Return the headers of a call that only one instance may accept."""
     return {
         wire.INSTANCE_HEADER: incarnations.instance_id(upstream),
         'Content-Type': 'application/json',
