--- a/galenahatch/claimclient.py
+++ b/galenahatch/claimclient.py
@@ -80,7 +80,7 @@
     def __init__(
         self,
         peers: peers_module.Peers,
-        object_store: objects.Objects,
+        object_store: objects.ObjectStore,
         task_group: tasks.Tasks,
         timeout: float,
     ) -> None:
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -57,7 +57,7 @@
         self,
         options: options_module.Options,
         table_client: table.Table,
-        object_store: objects.Objects,
+        object_store: objects.ObjectStore,
         task_group: tasks.Tasks,
     ) -> None:
         self._options = options
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -59,7 +59,7 @@
         options: options_module.Options,
         role: states.Role,
         settings: distribution.Distribution,
-        vm_client: vms.Vms,
+        vm_client: vms.VmListClient,
         handler: Handler,
     ) -> None:
         self._options = options
@@ -173,7 +173,7 @@
         vm_list = await self._vms.read()
         if isinstance(vm_list, errors.Failure):
             return
-        system_vms = [vm for vm in vm_list.vms if vm.group == vms.SYSTEM]
+        system_vms = [vm for vm in vm_list.vms if vm.group == vms.SYSTEM_GROUP]
         self.membership.record_vm_list(
             (vm.address for vm in system_vms if vm.state == 'live'),
             (vm.address for vm in system_vms if vm.state != 'live'),
--- a/galenahatch/upstream/service.py
+++ b/galenahatch/upstream/service.py
@@ -55,7 +55,7 @@
     body: bytes
 
 
-def forwarded(headers: typing.Mapping[str, str]) -> dict[str, str]:
+def forwardable_headers(headers: typing.Mapping[str, str]) -> dict[str, str]:
     """Return the headers that go on to a service."""
     return {
         name: value
@@ -88,8 +88,8 @@
             allow_redirects=False,
         ) as response:
             data = await http.read_all(response)
-    except http.ERRORS as error:
-        return http.failure_of(error)
+    except http.CLIENT_ERRORS as error:
+        return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     if response.status == _REFUSED and _not_started(data):
