--- a/runtests.py
+++ b/runtests.py
@@ -12,8 +12,8 @@
 
 """Runs every check by name: `runtests.py [NAME ...]`.
 
-Without names it runs what CI runs. Each check is one command; the exit
-code is that of the first check that fails, after all have run.
+Without names it runs the checks of CI. All named checks run even if one
+fails; the exit code is 1 if any failed, and 2 if a name is unknown.
 """
 
 import ast
@@ -28,7 +28,7 @@
 CODE: typing.Final = ('galenahatch', 'bench', 'runtests.py')
 KNOWN_RED: typing.Final = ROOT / 'KNOWN-RED.txt'
 MOST_KNOWN_RED: typing.Final = 3
-# Modules that do input or output, and may not be seen from the core.
+# Modules for I/O, threads and clocks, which the core must not import.
 OUTSIDE: typing.Final = (
     'aiohttp',
     'asyncio',
@@ -48,19 +48,19 @@
 BELOW_PROGRAMS: typing.Final = ('core', 'platform', 'upstream')
 PROGRAMS: typing.Final = ('entry', 'scheduler', 'controller', 'ctl', 'main')
 
-# The platform's headers, calls and fields, which only the adapter spells.
+# Headers, calls and fields of the platform; only its adapter may use them.
 PLATFORM_NAMES: typing.Final = re.compile(
     r'X-Galenahatch-|\brows-(tx|get|feed)|\bblob-|\b(kv_handle|kv_hold_s|'
     r'next_token|create_rev|set_keys|seq_no|max_conns|gap_aim_ms|'
     r'target_latency_ms|cold_left_ms|retry_slack|budget_window_s)\b'
 )
-# Its words for what our code calls VM, data centre, customer and upstream.
+# The platform's terms for VM, data centre, customer and upstream.
 PLATFORM_WORDS: typing.Final = re.compile(
     r'(?<!state )\b(zone|tenant|machine|back ?end)s?\b', re.IGNORECASE
 )
 
-# Rows sleep most of their time, each on ports and addresses of its own; each
-# starts up to ten processes, so half of the processors are left to those.
+# Tests sleep most of the time, and each has its own ports and addresses. Each
+# starts up to ten processes, so half of the processors are left for them.
 WORKERS: typing.Final = max(1, min(6, (os.cpu_count() or 1) // 2))
 
 MODULE_LINES: typing.Final = 430
@@ -87,81 +87,83 @@
     return _command('mypy')
 
 
-def _imports(path: pathlib.Path) -> set[str]:
-    """Return the modules that a file imports."""
-    found: set[str] = set()
+def _imported_modules(path: pathlib.Path) -> set[str]:
+    """Return the names of the modules that a file imports."""
+    imported: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            found.update(alias.name for alias in node.names)
+            imported.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom) and node.module:
-            found.update(f'{node.module}.{a.name}' for a in node.names)
-    return found
+            imported.update(f'{node.module}.{a.name}' for a in node.names)
+    return imported
 
 
-def _starts(name: str, modules: typing.Iterable[str]) -> bool:
+def _is_in_modules(name: str, modules: typing.Iterable[str]) -> bool:
     return any(name == m or name.startswith(m + '.') for m in modules)
 
 
 def _layers() -> int:
-    """Check that imports point from programs over clients to the core."""
-    wrong = []
+    """Check that imports lead only from programs to clients to the core."""
+    violations = []
     package = ROOT / 'galenahatch'
     for path in sorted((package / 'core').glob('*.py')):
-        for name in sorted(_imports(path)):
-            if _starts(name, (*OUTSIDE, *ABOVE_CORE)):
-                wrong.append(f'{path.relative_to(ROOT)}: {name}')
+        for name in sorted(_imported_modules(path)):
+            if _is_in_modules(name, (*OUTSIDE, *ABOVE_CORE)):
+                violations.append(f'{path.relative_to(ROOT)}: {name}')
     programs = [f'galenahatch.{name}' for name in PROGRAMS]
     for layer in BELOW_PROGRAMS:
         for path in sorted((package / layer).glob('*.py')):
-            for name in sorted(_imports(path)):
-                if _starts(name, programs):
-                    wrong.append(f'{path.relative_to(ROOT)}: {name}')
-    print('layers:', 'wrong imports' if wrong else 'good', flush=True)
-    for line in wrong:
+            for name in sorted(_imported_modules(path)):
+                if _is_in_modules(name, programs):
+                    violations.append(f'{path.relative_to(ROOT)}: {name}')
+    print('layers:', 'wrong imports' if violations else 'good', flush=True)
+    for line in violations:
         print(' ', line)
-    return bool(wrong)
+    return bool(violations)
 
 
 def _boundary() -> int:
-    """Check that only the adapter spells the platform's names."""
-    wrong = []
+    """Check that only the adapter uses the platform's names and terms."""
+    violations = []
     package = ROOT / 'galenahatch'
     for path in sorted(package.rglob('*.py')):
-        inside = path.relative_to(package).parts[0]
-        if inside in ('platform', 'test'):
+        subpackage = path.relative_to(package).parts[0]
+        if subpackage in ('platform', 'test'):
             continue
         for number, line in enumerate(path.read_text().splitlines(), 1):
             if PLATFORM_NAMES.search(line) or PLATFORM_WORDS.search(line):
-                where = f'{path.relative_to(ROOT)}:{number}'
-                wrong.append(f'{where}: {line.strip()}')
-    print('boundary:', 'crossed' if wrong else 'good', flush=True)
-    for line in wrong:
+                location = f'{path.relative_to(ROOT)}:{number}'
+                violations.append(f'{location}: {line.strip()}')
+    print('boundary:', 'crossed' if violations else 'good', flush=True)
+    for line in violations:
         print(' ', line)
-    return bool(wrong)
+    return bool(violations)
 
 
 def _sizes() -> int:
-    """Check that modules and functions stay small."""
-    wrong = []
+    """Check modules and functions against the limits on their lines."""
+    violations = []
     for path in sorted((ROOT / 'galenahatch').rglob('*.py')):
         text = path.read_text()
         lines = len(text.splitlines())
         if lines > MODULE_LINES and 'test' not in path.parts:
-            wrong.append(f'{path.relative_to(ROOT)}: {lines} lines')
+            violations.append(f'{path.relative_to(ROOT)}: {lines} lines')
         for node in ast.walk(ast.parse(text)):
             if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
                 length = (node.end_lineno or 0) - node.lineno + 1
                 if length > FUNCTION_LINES:
-                    where = f'{path.relative_to(ROOT)}:{node.lineno}'
-                    wrong.append(f'{where}: {node.name} {length} lines')
-    print('sizes:', 'too large' if wrong else 'good', flush=True)
-    for line in wrong:
+                    location = f'{path.relative_to(ROOT)}:{node.lineno}'
+                    violations.append(
+                        f'{location}: {node.name} {length} lines'
+                    )
+    print('sizes:', 'too large' if violations else 'good', flush=True)
+    for line in violations:
         print(' ', line)
-    return bool(wrong)
+    return bool(violations)
 
 
 def _docs() -> int:
-    """Check that the reference pages are what the code gives."""
+    """Check that the reference pages match the code."""
     return _command('galenahatch.test.reference', 'check')
 
 
@@ -173,13 +175,13 @@
 
 
 def _tests() -> int:
-    """Run the tests; the listed known failures are printed, not run."""
-    red = _known_red()
-    if len(red) > MOST_KNOWN_RED:
+    """Run the tests; print the known failures instead of running them."""
+    known_red = _known_red()
+    if len(known_red) > MOST_KNOWN_RED:
         print('KNOWN-RED.txt has more than three lines')
         return 1
     flags = []
-    for line in red:
+    for line in known_red:
         print('known red:', line, flush=True)
         flags.append(f'--deselect={line.partition(",")[0].strip()}')
     return _command('pytest', '-n', str(WORKERS), *flags)
@@ -215,13 +217,13 @@
 
 
 def main(names: list[str]) -> int:
-    """Run the named checks, or those of CI."""
-    known = {**CI, **LONG}
-    unknown = [name for name in names if name not in known]
+    """Run the named checks, or the checks of CI if none is named."""
+    checks = {**CI, **LONG}
+    unknown = [name for name in names if name not in checks]
     if unknown:
-        print(f'unknown: {", ".join(unknown)}; known: {", ".join(known)}')
+        print(f'unknown: {", ".join(unknown)}; known: {", ".join(checks)}')
         return 2
-    results = {name: known[name]() for name in names or CI}
+    results = {name: checks[name]() for name in names or CI}
     for name, code in results.items():
         print(f'{name}: {"failed" if code else "passed"}')
     return int(any(results.values()))
