--- a/bench/compare.py
+++ b/bench/compare.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Policies side by side: `make bench` writes docs/BENCH.md and a plot.
+"""Compares policies: `make bench` writes docs/BENCH.md and a plot.
 
-Every run is deterministic by its seed and runs under virtual time, so the
-machine's speed does not matter; runs are spread over processes.
+Runs use virtual time and depend on their seed only, so the speed of the
+machine does not matter. They are spread over several processes.
 """
 
 import collections.abc
@@ -33,7 +33,7 @@
 DOCS: typing.Final = pathlib.Path(__file__).resolve().parents[1] / 'docs'
 SEEDS: typing.Final = (1, 2, 3, 4, 5)
 LOADS: typing.Final = (0.7, 1.0, 1.3)
-SECONDS: typing.Final = 60.0
+RUN_S: typing.Final = 60.0
 FAULTS: typing.Final = (
     'prefill killed',
     'decode killed',
@@ -42,7 +42,7 @@
     'reports lag',
     'centre cut off',
 )
-VARIED: typing.Final = (
+VARIED_PARAMS: typing.Final = (
     ('places', (12, 40)),
     ('eviction', (0.2, 1.0)),
     ('link_rate', (2e9, 32e9)),
@@ -57,7 +57,7 @@
 
 def _healthy(seeds: collections.abc.Sequence[int]) -> list[scenario.Scenario]:
     return [
-        scenario.Scenario(workload, policy, load, 'healthy', seed, SECONDS)
+        scenario.Scenario(workload, policy, load, 'healthy', seed, RUN_S)
         for workload, policy, load, seed in itertools.product(
             workloads.WORKLOADS, policies.POLICIES, LOADS, seeds
         )
@@ -66,18 +66,22 @@
 
 def _faulty(seeds: collections.abc.Sequence[int]) -> list[scenario.Scenario]:
     return [
-        scenario.Scenario(workload, policy, 1.0, fault, seed, SECONDS)
+        scenario.Scenario(workload, policy, 1.0, fault, seed, RUN_S)
         for workload, policy, fault, seed in itertools.product(
             workloads.WORKLOADS, _FAULT_POLICIES, FAULTS, seeds
         )
     ]
 
 
-def _varied(seeds: collections.abc.Sequence[int]) -> list[scenario.Scenario]:
-    changes = [(name, value) for name, values in VARIED for value in values]
+def _with_varied_params(
+    seeds: collections.abc.Sequence[int],
+) -> list[scenario.Scenario]:
+    changes = [
+        (name, value) for name, values in VARIED_PARAMS for value in values
+    ]
     return [
         scenario.Scenario(
-            workload, policy, 1.3, 'healthy', seed, SECONDS, (change,)
+            workload, policy, 1.3, 'healthy', seed, RUN_S, (change,)
         )
         for workload, policy, change, seed in itertools.product(
             workloads.WORKLOADS,
@@ -88,7 +92,7 @@
     ]
 
 
-def _returning(
+def _retrying(
     seeds: collections.abc.Sequence[int],
 ) -> list[scenario.Scenario]:
     return [
@@ -98,8 +102,8 @@
             load,
             'healthy',
             seed,
-            SECONDS,
-            come_back=True,
+            RUN_S,
+            retries_refused=True,
         )
         for workload, load, seed in itertools.product(
             workloads.WORKLOADS, (1.0, 1.3), seeds
@@ -107,21 +111,23 @@
     ]
 
 
-def _run_all(wanted: list[scenario.Scenario]) -> Results:
+def _run_all(scenarios: list[scenario.Scenario]) -> Results:
     with concurrent.futures.ProcessPoolExecutor(_WORKERS) as pool:
-        found = pool.map(scenario.run, wanted)
-        return dict(zip(wanted, found, strict=True))
+        outcomes = pool.map(scenario.run, scenarios)
+        return dict(zip(scenarios, outcomes, strict=True))
 
 
-Select = typing.Callable[[scenario.Outcome], float]
+Metric = typing.Callable[[scenario.Outcome], float]
 
 
-def _of(results: Results, select: Select, **fields: typing.Any) -> list[float]:
-    """Return a figure of the runs that have these fields."""
+def _select(
+    results: Results, metric: Metric, **fields: typing.Any
+) -> list[float]:
+    """Return a metric of the runs whose scenarios have the given fields."""
     return [
-        select(outcome)
-        for wanted, outcome in results.items()
-        if all(getattr(wanted, k) == v for k, v in fields.items())
+        metric(outcome)
+        for key, outcome in results.items()
+        if all(getattr(key, k) == v for k, v in fields.items())
     ]
 
 
@@ -139,54 +145,62 @@
             'policy': policy,
             'load': load,
             'fault': 'healthy',
-            'come_back': False,
+            'retries_refused': False,
             'params': (),
         }
         kinds = [kind.name for kind in workloads.WORKLOADS[workload].kinds]
         by_kind = ', '.join(
-            f'{kind} {_median(_of(results, _kind(kind), **fields)):.2f}'
+            f'{kind} '
+            f'{_median(_select(results, _kind_goodput(kind), **fields)):.2f}'
             for kind in kinds
         )
         cells = [
             policy,
             str(load),
-            scenario.spread(_of(results, lambda o: o.goodput, **fields)),
+            scenario.format_spread(
+                _select(results, lambda o: o.goodput, **fields)
+            ),
             by_kind,
-            scenario.spread(_of(results, lambda o: o.waste, **fields)),
-            f'{_median(_of(results, lambda o: o.refused, **fields)):.3f}',
-            f'{_median(_of(results, lambda o: o.others, **fields)):.2f}',
+            scenario.format_spread(
+                _select(results, lambda o: o.waste, **fields)
+            ),
+            f'{_median(_select(results, lambda o: o.refused, **fields)):.3f}',
+            f'{_median(_select(results, lambda o: o.others, **fields)):.2f}',
         ]
         lines.append('| ' + ' | '.join(cells) + ' |')
     return [*lines, '']
 
 
-def _kind(name: str) -> Select:
-    return lambda outcome: outcome.by_kind.get(name, 0.0)
+def _kind_goodput(name: str) -> Metric:
+    return lambda outcome: outcome.goodput_by_kind.get(name, 0.0)
 
 
 def _median(values: list[float]) -> float:
     return statistics.median(values)
 
 
-def surviving(workload: str, fault: str) -> float:
-    """Return the smaller role's share of engines that a fault leaves."""
-    declared = workloads.WORKLOADS[workload]
-    lost = {
+def remaining_engine_share(workload: str, fault: str) -> float:
+    """Return the share of engines that a fault leaves, in the worse role."""
+    config = workloads.WORKLOADS[workload]
+    lost_engines = {
         'prefill killed': (1, 0),
         'decode killed': (0, 1),
         'decode slow': (0, 1),
         'centre cut off': (
-            len(range(1, declared.prefills, declared.data_centres)),
-            len(range(1, declared.decodes, declared.data_centres)),
+            len(range(1, config.prefills, config.data_centres)),
+            len(range(1, config.decodes, config.data_centres)),
         ),
     }.get(fault, (0, 0))
-    return min(1 - lost[0] / declared.prefills, 1 - lost[1] / declared.decodes)
+    return min(
+        1 - lost_engines[0] / config.prefills,
+        1 - lost_engines[1] / config.decodes,
+    )
 
 
 def _fault_table(results: Results, workload: str) -> list[str]:
     lines = [
         f'### {workload}, load 1.0, a fault after '
-        f'{scenario.FAULT_AT:.0f} s, requests that came after it',
+        f'{scenario.FAULT_AT_S:.0f} s, requests that came after it',
         '',
         '| fault | policy | goodput | wasted prefill | share of healthy '
         '| engines left | kept per engine |',
@@ -197,24 +211,26 @@
             'workload': workload,
             'policy': policy,
             'load': 1.0,
-            'come_back': False,
+            'retries_refused': False,
             'params': (),
         }
-        faulty = _of(results, lambda o: o.late_goodput, fault=fault, **fields)
-        healthy = _of(
-            results, lambda o: o.late_goodput, fault='healthy', **fields
+        faulty = _select(
+            results, lambda o: o.goodput_after_fault, fault=fault, **fields
+        )
+        healthy = _select(
+            results, lambda o: o.goodput_after_fault, fault='healthy', **fields
         )
-        waste = _of(results, lambda o: o.waste, fault=fault, **fields)
+        waste = _select(results, lambda o: o.waste, fault=fault, **fields)
         share = _median(faulty) / _median(healthy)
-        left = surviving(workload, fault)
+        remaining_share = remaining_engine_share(workload, fault)
         cells = [
             fault,
             policy,
-            scenario.spread(faulty),
+            scenario.format_spread(faulty),
             f'{_median(waste):.3f}',
             f'{share:.2f}',
-            f'{left:.2f}',
-            f'{share / left:.2f}',
+            f'{remaining_share:.2f}',
+            f'{share / remaining_share:.2f}',
         ]
         lines.append('| ' + ' | '.join(cells) + ' |')
     return [*lines, '']
@@ -228,34 +244,34 @@
         '| waste, ours |',
         '|---|---|---|---|---|',
     ]
-    for name, values in VARIED:
+    for name, values in VARIED_PARAMS:
         for value in values:
             fields = {
                 'workload': workload,
                 'load': 1.3,
                 'params': ((name, value),),
             }
-            base = _of(
+            base = _select(
                 results, lambda o: o.goodput, policy=_BASELINE, **fields
             )
-            ours = _of(
+            ours = _select(
                 results, lambda o: o.goodput, policy=policies.OURS, **fields
             )
-            waste = _of(
+            waste = _select(
                 results, lambda o: o.waste, policy=policies.OURS, **fields
             )
             cells = [
                 name,
                 f'{value:g}',
-                scenario.spread(base),
-                scenario.spread(ours),
-                scenario.spread(waste),
+                scenario.format_spread(base),
+                scenario.format_spread(ours),
+                scenario.format_spread(waste),
             ]
             lines.append('| ' + ' | '.join(cells) + ' |')
     return [*lines, '']
 
 
-def _returning_table(results: Results) -> list[str]:
+def _retry_table(results: Results) -> list[str]:
     lines = [
         '### Retry-After: callers that were given up and came back once',
         '',
@@ -263,21 +279,21 @@
         '|---|---|---|---|',
     ]
     for workload, load in itertools.product(workloads.WORKLOADS, (1.0, 1.3)):
-        fields = {'workload': workload, 'load': load, 'come_back': True}
-        refused = _of(results, lambda o: o.refused, **fields)
-        returned = _of(results, lambda o: o.returned_good, **fields)
+        fields = {'workload': workload, 'load': load, 'retries_refused': True}
+        refused = _select(results, lambda o: o.refused, **fields)
+        retried = _select(results, lambda o: o.retry_goodput, **fields)
         cells = [
             workload,
             str(load),
-            scenario.spread(refused),
-            scenario.spread(returned),
+            scenario.format_spread(refused),
+            scenario.format_spread(retried),
         ]
         lines.append('| ' + ' | '.join(cells) + ' |')
     return [*lines, '']
 
 
-def _targets(results: Results) -> list[str]:
-    """Compare with the targets that were set beforehand."""
+def _target_table(results: Results) -> list[str]:
+    """Return a table of the results against targets fixed beforehand."""
     lines = [
         '### Against the targets, at 1.3',
         '',
@@ -290,27 +306,31 @@
             'workload': workload,
             'load': 1.3,
             'fault': 'healthy',
-            'come_back': False,
+            'retries_refused': False,
             'params': (),
         }
 
-        def good(policy: str, fields: typing.Any = fields) -> float:
-            found = _of(results, lambda o: o.goodput, policy=policy, **fields)
-            return _median(found)
+        def goodput(policy: str, fields: typing.Any = fields) -> float:
+            shares = _select(
+                results, lambda o: o.goodput, policy=policy, **fields
+            )
+            return _median(shares)
 
         def waste(policy: str, fields: typing.Any = fields) -> float:
-            found = _of(results, lambda o: o.waste, policy=policy, **fields)
-            return _median(found)
+            shares = _select(
+                results, lambda o: o.waste, policy=policy, **fields
+            )
+            return _median(shares)
 
-        best = max(policies.BASELINES, key=good)
+        best = max(policies.BASELINES, key=goodput)
         ours = policies.OURS
         share = waste(ours) / waste(best) if waste(best) else float('nan')
         cells = [
             workload,
             best,
-            f'{good(best):.3f}',
-            f'{good(ours):.3f}',
-            f'{good(ours) / good(best):.2f}',
+            f'{goodput(best):.3f}',
+            f'{goodput(ours):.3f}',
+            f'{goodput(ours) / goodput(best):.2f}',
             f'{waste(best):.4f}',
             f'{waste(ours):.4f}',
             f'{share:.2f}',
@@ -320,32 +340,33 @@
 
 
 def report(results: Results, seeds: collections.abc.Sequence[int]) -> str:
-    """Return the page."""
+    """Return the text of the page."""
     params = dataclasses.asdict(scenario.PARAMS)
     lines = [
         '# Policies compared',
         '',
         'Written by `make bench`; do not edit. Virtual time, '
-        f'{SECONDS:.0f} s of open-loop arrivals, seeds {list(seeds)}; '
+        f'{RUN_S:.0f} s of open-loop arrivals, seeds {list(seeds)}; '
         'median (lowest-highest).',
         '',
         f'Engines: {params}.',
         '',
         'Goodput: requests whose first token met the target of its class '
         'and whose mean time between tokens was at most '
-        f'{scenario.PACE_TARGET * 1000:.0f} ms, over all offered. Other '
+        f'{scenario.TOKEN_INTERVAL_TARGET_S * 1000:.0f} ms, '
+        'over all offered. Other '
         'callers: goodput, in the worse class, of the callers beside the '
         'one that sends as much as all of them together.',
         '',
         '![goodput and wasted prefill](bench.svg)',
         '',
-        *_targets(results),
+        *_target_table(results),
     ]
     for workload in workloads.WORKLOADS:
         lines += _healthy_table(results, workload)
         lines += _fault_table(results, workload)
         lines += _varied_table(results, workload)
-    lines += _returning_table(results)
+    lines += _retry_table(results)
     return '\n'.join(lines)
 
 
@@ -359,26 +380,32 @@
             'policy': policy,
             'load': 1.3,
             'fault': 'healthy',
-            'come_back': False,
+            'retries_refused': False,
             'params': (),
         }
-        good = _of(results, lambda o: o.goodput, **fields)
-        waste = _of(results, lambda o: o.waste, **fields)
-        bars.append(plot.Bar(workload, policy, _median(good), _median(waste)))
+        goodput = _select(results, lambda o: o.goodput, **fields)
+        waste = _select(results, lambda o: o.waste, **fields)
+        bars.append(
+            plot.Bar(workload, policy, _median(goodput), _median(waste))
+        )
     return bars
 
 
 def main(args: list[str]) -> int:
-    """Run everything and write the page; `quick` runs one seed."""
+    """Run all scenarios and write the page.
+
+    Args:
+        args: `quick` runs one seed and prints the page instead.
+    """
     seeds = SEEDS[:1] if 'quick' in args else SEEDS
-    wanted = [
+    scenarios = [
         *_healthy(seeds),
         *_faulty(seeds[:3]),
-        *_varied(seeds[:3]),
-        *_returning(seeds),
+        *_with_varied_params(seeds[:3]),
+        *_retrying(seeds),
     ]
-    print(f'{len(wanted)} runs ...', flush=True)
-    results = _run_all(wanted)
+    print(f'{len(scenarios)} runs ...', flush=True)
+    results = _run_all(scenarios)
     page = report(results, seeds)
     if 'quick' in args:
         print(page)
@@ -386,7 +413,7 @@
     DOCS.mkdir(exist_ok=True)
     (DOCS / 'BENCH.md').write_text(page + '\n')
     (DOCS / 'bench.svg').write_text(plot.svg(_bars(results)))
-    print('\n'.join(_targets(results)))
+    print('\n'.join(_target_table(results)))
     return 0
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Engines of one workload, six entries, and the course of a request.
+"""Simulated engines of one workload, six entries, and their requests.
 
-The engines are the stand-in's time model. The course is the entry's: it
-prefills, waits for a decode place until the result is evicted, transfers,
-decodes, and tries again a few times. Faults are done at a given time.
+The engines use the stand-in's time model. A request follows the steps of an
+entry: it prefills, waits for a decode slot until its KV cache is evicted,
+transfers, decodes, and retries a few times after a failure.
 """
 
 import asyncio
@@ -28,55 +28,59 @@
 from galenahatch.test.standin import model
 
 ENTRIES: typing.Final = 6
-MOST_ATTEMPTS: typing.Final = 4
-LEAVE_AFTER: typing.Final = 4.0
-_FULL_WAIT: typing.Final = 0.03
-_BACKOFF: typing.Final = 0.05
-_ORPHAN_SECONDS: typing.Final = 2.5
+MAX_ATTEMPTS: typing.Final = 4
+ABANDON_SLACK_S: typing.Final = 4.0
+_FULL_RETRY_DELAY_S: typing.Final = 0.03
+_ATTEMPT_BACKOFF_S: typing.Final = 0.05
+_ORPHAN_CLEANUP_DELAY_S: typing.Final = 2.5
 
 
 @dataclasses.dataclass
-class Record:
-    """What became of one request.
+class RequestRecord:
+    """The outcome of one request.
 
     Attributes:
         kind: name of its class.
-        first: seconds to the first token; None if there was none.
-        pace: mean seconds between tokens.
-        refused: reason if it was given up.
-        retry_after: seconds it was told.
-        lost: its entry died.
+        at: seconds from the start of the run to its arrival.
+        first_token_target_s: target for the time to the first token.
+        first_token_s: seconds to the first token; None if there was none.
+        token_interval_s: mean seconds between tokens.
+        is_complete: whether all tokens arrived.
+        refused: reason for the refusal, or an empty string.
+        retry_after: seconds after which the caller may retry.
+        ticket: queue ticket of the refusal.
+        is_entry_dead: whether its entry died.
     """
 
     number: int
     kind: str
     caller: str
     at: float
-    target: float
-    first: float | None = None
-    pace: float = 0.0
-    whole: bool = False
+    first_token_target_s: float
+    first_token_s: float | None = None
+    token_interval_s: float = 0.0
+    is_complete: bool = False
     refused: str = ''
     retry_after: float = 0.0
     ticket: str = ''
-    lost: bool = False
+    is_entry_dead: bool = False
 
-    def good(self, pace_target: float) -> bool:
-        """Return whether it met both targets."""
+    def met_targets(self, token_interval_target_s: float) -> bool:
+        """Return whether it completed within both latency targets."""
         return (
-            self.whole
-            and self.first is not None
-            and self.first <= self.target
-            and self.pace <= pace_target
+            self.is_complete
+            and self.first_token_s is not None
+            and self.first_token_s <= self.first_token_target_s
+            and self.token_interval_s <= token_interval_target_s
         )
 
 
-class Down(Exception):
-    """The engine does not answer."""
+class EngineDown(Exception):
+    """Raised if an engine does not respond."""
 
 
 class Fleet:
-    """Engines and their network."""
+    """Engines, and which of them each entry can reach."""
 
     def __init__(
         self, workload: workloads.Workload, params: model.Params
@@ -93,58 +97,66 @@
         ]
         engines = self.prefills + self.decodes
         self._reports = [model.lagging_report(e) for e in engines]
-        self.down: set[str] = set()
-        self.cut_centre: int | None = None
-        self._kept: list[asyncio.Task[None]] = []
+        self.down_engines: set[str] = set()
+        self.isolated_data_centre: int | None = None
+        self._background_tasks: list[asyncio.Task[None]] = []
 
-    def keep(self, work: collections.abc.Coroutine[None, None, None]) -> None:
-        """Run something in the background."""
-        task = asyncio.create_task(work)
-        task.add_done_callback(_must_go_on)
-        self._kept.append(task)
+    def start_background(
+        self, coroutine: collections.abc.Coroutine[None, None, None]
+    ) -> None:
+        """Run a coroutine in the background; its failure ends the run."""
+        task = asyncio.create_task(coroutine)
+        task.add_done_callback(_raise_task_failure)
+        self._background_tasks.append(task)
 
     def names(self) -> list[str]:
-        """Return the engines' names, prefill first."""
-        first = [f'p{i}' for i in range(len(self.prefills))]
-        return first + [f'd{i}' for i in range(len(self.decodes))]
+        """Return the names of the engines, prefill engines first."""
+        prefill_names = [f'p{i}' for i in range(len(self.prefills))]
+        return prefill_names + [f'd{i}' for i in range(len(self.decodes))]
 
     def engine(self, name: str) -> model.Engine:
-        """Return an engine by name."""
+        """Return the engine of a name."""
         pool = self.prefills if name[0] == 'p' else self.decodes
         return pool[int(name[1:])]
 
     def reports(self) -> dict[str, tuple[int, float]]:
-        """Return the lagging load reports of engines that answer."""
+        """Return the delayed load reports of the engines that respond."""
         return {
             name: report()
             for name, report in zip(self.names(), self._reports, strict=True)
-            if name not in self.down and not self._cut(name)
+            if name not in self.down_engines and not self._is_isolated(name)
         }
 
-    def centre(self, index: int) -> int:
-        """Return the data centre of an engine or entry."""
+    def data_centre_index(self, index: int) -> int:
+        """Return the index of the data centre of an engine or entry."""
         return index % self.workload.data_centres
 
-    def centre_of_entry(self, entry: int) -> ids.DataCentre:
-        """Return the data centre of an entry by name."""
-        return ids.DataCentre(f'dc{self.centre(entry)}')
+    def data_centre_of_entry(self, entry: int) -> ids.DataCentre:
+        """Return the name of the data centre of an entry."""
+        return ids.DataCentre(f'dc{self.data_centre_index(entry)}')
 
     def delay(self, entry: int) -> float:
-        """Return the one-way time between an entry and the owner."""
-        return 0.0 if self.centre(entry) == 0 else self.workload.one_way
+        """Return the one-way delay from an entry to the owner in seconds."""
+        return (
+            0.0
+            if self.data_centre_index(entry) == 0
+            else self.workload.one_way_delay_s
+        )
 
-    def declared(self, places: int) -> tuple[schema.Engine, ...]:
-        """Return the engines as a configuration declares them.
+    def declarations(self, places: int) -> tuple[schema.Engine, ...]:
+        """Return the engines as declared in a configuration.
 
         Args:
-            places: instead of the true number, if not 0.
+            places: declared decode slots; 0 for the actual number.
         """
         return tuple(
             schema.Engine(
                 name=ids.EngineName(name),
                 service=ids.ServiceName('x'),
                 role='prefill' if name[0] == 'p' else 'decode',
-                data_centre=ids.DataCentre(f'dc{self.centre(int(name[1:]))}'),
+                data_centre=ids.DataCentre(
+                    f'dc{self.data_centre_index(int(name[1:]))}'
+                ),
                 address='127.0.0.1',
                 port=1,
                 places=places or self.params.places,
@@ -156,50 +168,58 @@
             for name in self.names()
         )
 
-    def reach(self, name: str, entry: int) -> model.Engine:
-        """Return an engine that an entry can reach; Down if it can't."""
-        if name in self.down:
-            raise Down()
-        here = self.centre(entry) == self.cut_centre
-        there = self._cut(name)
-        if here != there:
-            raise Down()
+    def reachable_engine(self, name: str, entry: int) -> model.Engine:
+        """Return an engine.
+
+        Raises:
+            EngineDown: The entry can't reach the engine.
+        """
+        if name in self.down_engines:
+            raise EngineDown()
+        is_entry_isolated = (
+            self.data_centre_index(entry) == self.isolated_data_centre
+        )
+        is_engine_isolated = self._is_isolated(name)
+        if is_entry_isolated != is_engine_isolated:
+            raise EngineDown()
         return self.engine(name)
 
     def kill(self, name: str) -> None:
-        """Stop an engine; what it held is lost."""
-        self.down.add(name)
+        """Stop an engine and discard its requests."""
+        self.down_engines.add(name)
         engine = self.engine(name)
         for stream in [*engine.held, *engine.streams]:
             engine.cancel(stream)
 
     def wasted_share(self) -> float:
-        """Return wasted over all prefilled tokens."""
+        """Return the share of prefilled tokens that were never used."""
         engines = self.prefills + self.decodes
-        wasted = sum(engine.wasted_tokens for engine in engines)
-        return wasted / max(1, sum(e.prefilled_tokens for e in engines))
+        wasted_tokens = sum(engine.wasted_tokens for engine in engines)
+        return wasted_tokens / max(1, sum(e.prefilled_tokens for e in engines))
 
-    def _cut(self, name: str) -> bool:
-        if self.cut_centre is None:
+    def _is_isolated(self, name: str) -> bool:
+        if self.isolated_data_centre is None:
             return False
-        return self.centre(int(name[1:])) == self.cut_centre
+        return (
+            self.data_centre_index(int(name[1:])) == self.isolated_data_centre
+        )
 
 
-def _must_go_on(task: asyncio.Task[None]) -> None:
-    """Fail the run when a background task fails."""
+def _raise_task_failure(task: asyncio.Task[None]) -> None:
+    """End the run if a background task failed."""
     if not task.cancelled() and task.exception() is not None:
         raise SystemExit(repr(task.exception()))
 
 
-class Course:
-    """One request from arrival to its end."""
+class RequestRun:
+    """Runs one request from its arrival to its end."""
 
     def __init__(
         self,
         fleet: Fleet,
         policy: typing.Any,
         arrival: workloads.Arrival,
-        record: Record,
+        record: RequestRecord,
     ) -> None:
         self._fleet = fleet
         self._policy = policy
@@ -208,73 +228,84 @@
         self._streams: list[tuple[str, str]] = []
 
     async def run(self) -> None:
-        """Run to the end, or until the caller leaves."""
-        target = self._arrival.kind.first_token
-        leave_after = target + LEAVE_AFTER + self._arrival.kind.output * 0.1
+        """Run the request until it ends or its caller disconnects."""
+        first_token_target_s = self._arrival.kind.first_token_target_s
+        timeout_s = (
+            first_token_target_s
+            + ABANDON_SLACK_S
+            + self._arrival.kind.output * 0.1
+        )
         try:
-            async with asyncio.timeout(leave_after):
-                await self._attempts()
+            async with asyncio.timeout(timeout_s):
+                await self._run_attempts()
         except asyncio.TimeoutError:
-            self.free()
+            self.cancel_streams()
 
-    def free(self) -> None:
-        """Cancel whatever engines hold of it."""
+    def cancel_streams(self) -> None:
+        """Cancel the streams of the request at all engines."""
         for name, stream in self._streams:
-            if name not in self._fleet.down:
+            if name not in self._fleet.down_engines:
                 self._fleet.engine(name).cancel(stream)
 
-    async def orphan(self, task: asyncio.Task[None]) -> None:
-        """Its entry dies: its streams are cancelled a little later."""
-        self._record.lost = True
+    async def abandon(self, task: asyncio.Task[None]) -> None:
+        """Stop the request because its entry died.
+
+        Engines cancel its streams only after a delay.
+        """
+        self._record.is_entry_dead = True
         task.cancel()
-        await asyncio.sleep(_ORPHAN_SECONDS)
-        self.free()
+        await asyncio.sleep(_ORPHAN_CLEANUP_DELAY_S)
+        self.cancel_streams()
 
-    async def _attempts(self) -> None:
-        for attempt in range(MOST_ATTEMPTS):
-            left = self._arrival.kind.first_token - self._waited()
-            place = self._policy.place(self._arrival, attempt, left)
+    async def _run_attempts(self) -> None:
+        for attempt in range(MAX_ATTEMPTS):
+            remaining_s = (
+                self._arrival.kind.first_token_target_s - self._elapsed_s()
+            )
+            place = self._policy.place(self._arrival, attempt, remaining_s)
             pair = await place
             if hasattr(pair, 'reason'):
                 self._record.refused = pair.reason
                 self._record.retry_after = pair.retry_after
                 self._record.ticket = pair.ticket
                 return
-            if await self._attempt(f'{self._arrival.number}.{attempt}', pair):
+            if await self._run_attempt(
+                f'{self._arrival.number}.{attempt}', pair
+            ):
                 return
-            await asyncio.sleep(_BACKOFF)
+            await asyncio.sleep(_ATTEMPT_BACKOFF_S)
         self._record.refused = 'retries_failed'
 
-    async def _attempt(self, stream: str, pair: typing.Any) -> bool:
+    async def _run_attempt(self, stream: str, pair: typing.Any) -> bool:
         blame_decode = False
         try:
             tokens = await self._prefill(stream, pair)
             blame_decode = True
             await self._decode(stream, pair, tokens)
-        except (Down, model.Evicted):
-            self.free()
+        except (EngineDown, model.Evicted):
+            self.cancel_streams()
             self._streams.clear()
-            self._policy.failed(stream, pair, blame_decode)
+            self._policy.on_failure(stream, pair, blame_decode)
             return False
         except asyncio.CancelledError:
-            self._policy.failed(stream, pair, blame_decode)
+            self._policy.on_failure(stream, pair, blame_decode)
             raise
         return True
 
     async def _prefill(self, stream: str, pair: typing.Any) -> int:
         name = f'p{pair.prefill}'
-        engine = self._fleet.reach(name, self._arrival.entry)
+        engine = self._fleet.reachable_engine(name, self._arrival.entry)
         self._streams.append((name, stream))
-        began = self._now()
-        work = engine.prefill(
+        started_at = self._now()
+        prefill = engine.prefill(
             stream,
             self._arrival.prompt,
             (),
             int(self._arrival.kind.urgency),
         )
-        tokens, cached = await work
-        self._fleet.reach(name, self._arrival.entry)
-        self._policy.prefilled(stream, cached, self._now() - began)
+        tokens, cached = await prefill
+        self._fleet.reachable_engine(name, self._arrival.entry)
+        self._policy.on_prefill_done(stream, cached, self._now() - started_at)
         return tokens
 
     async def _decode(
@@ -283,43 +314,47 @@
         source = self._fleet.engine(f'p{pair.prefill}')
         name = f'd{pair.decode}'
         while True:
-            engine = self._fleet.reach(name, self._arrival.entry)
+            engine = self._fleet.reachable_engine(name, self._arrival.entry)
             if stream not in source.kvs:
                 raise model.Evicted()
             try:
                 engine.reserve(stream)
                 break
             except model.Refused:
-                await asyncio.sleep(_FULL_WAIT)
+                await asyncio.sleep(_FULL_RETRY_DELAY_S)
         self._streams.append((name, stream))
         kv = source.export(stream)
         await engine.transfer(tokens)
-        if name in self._fleet.down:
-            raise Down()
+        if name in self._fleet.down_engines:
+            raise EngineDown()
         state = engine.generate(stream, kv, self._arrival.kind.output)
-        await self._read(stream, name, state)
+        await self._read_tokens(stream, name, state)
 
-    async def _read(self, stream: str, name: str, state: model.Stream) -> None:
-        first_at = 0.0
+    async def _read_tokens(
+        self, stream: str, name: str, state: model.Stream
+    ) -> None:
+        first_token_at = 0.0
         while not state.finish:
             state.changed.clear()
             await state.changed.wait()
-            self._fleet.reach(name, self._arrival.entry)
-            if state.tokens and not first_at:
-                first_at = self._now()
-                self._policy.decoding(stream)
+            self._fleet.reachable_engine(name, self._arrival.entry)
+            if state.tokens and not first_token_at:
+                first_token_at = self._now()
+                self._policy.on_first_token(stream)
         if state.finish == 'cancelled':
-            raise Down()
+            raise EngineDown()
         count = len(state.tokens)
-        pace = (self._now() - first_at) / (count - 1) if count > 1 else 0.0
-        if self._record.first is None:
-            self._record.first = first_at - self._arrival.at
-        self._record.pace = pace
-        self._record.whole = True
-        self._policy.ended(stream, count, pace)
+        token_interval_s = (
+            (self._now() - first_token_at) / (count - 1) if count > 1 else 0.0
+        )
+        if self._record.first_token_s is None:
+            self._record.first_token_s = first_token_at - self._arrival.at
+        self._record.token_interval_s = token_interval_s
+        self._record.is_complete = True
+        self._policy.on_complete(stream, count, token_interval_s)
         self._fleet.engine(name).streams.pop(stream, None)
 
-    def _waited(self) -> float:
+    def _elapsed_s(self) -> float:
         return self._now() - self._arrival.at
 
     def _now(self) -> float:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Policies side by side: the product's core, and the baselines.
+"""Placement policies to compare: the product's core and the baselines.
 
-A policy answers one question, which pair of engines a request runs on, and
-is told what became of it. `owner` is the product: one cell decides for all
-entries. The baselines decide at each entry alone, from load reports, or
-centrally without looking at decode places first.
+A policy selects the pair of engines that runs a request, and is notified of
+the progress of the request. `OwnerPolicy` is the product: one cell decides
+for all entries. Baselines decide at each entry alone, with or without load
+reports, or centrally by prefill queues without reserving decode slots.
 """
 
 import asyncio
@@ -34,14 +34,14 @@
 from galenahatch import states
 
 _SITE: typing.Final = ids.SiteName('site')
-_LOOK: typing.Final = 0.002
-_REPORT: typing.Final = 1.0
-_UNSHED_PATIENCE: typing.Final = 1e6
+_MIN_DECISION_INTERVAL_S: typing.Final = 0.002
+_REPORT_INTERVAL_S: typing.Final = 1.0
+_UNLIMITED_PATIENCE_S: typing.Final = 1e6
 
 
 @dataclasses.dataclass(frozen=True)
 class Pair:
-    """Engines by index."""
+    """Indexes of a prefill and a decode engine."""
 
     prefill: int
     decode: int
@@ -49,7 +49,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """Given up, with when to come back."""
+    """A refusal.
+
+    Attributes:
+        reason: name of the reason.
+        retry_after: seconds after which the caller may retry.
+        ticket: queue ticket to send with the retry.
+    """
 
     reason: str
     retry_after: float
@@ -57,59 +63,73 @@
 
 
 class Policy(typing.Protocol):
-    """What a policy does."""
+    """Interface of placement policies."""
 
     async def place(
-        self, arrival: workloads.Arrival, attempt: int, left: float
+        self, arrival: workloads.Arrival, attempt: int, remaining_s: float
     ) -> Pair | Refused:
-        """Return the pair for a request."""
+        """Select engines for a request, or refuse it.
+
+        Args:
+            arrival: the request.
+            attempt: number of earlier attempts.
+            remaining_s: seconds until its target for the first token.
+        """
 
-    def prefilled(self, stream: str, cached: int, seconds: float) -> None:
-        """Note a finished prefill."""
+    def on_prefill_done(
+        self, stream: str, cached: int, seconds: float
+    ) -> None:
+        """Handle a completed prefill."""
 
-    def decoding(self, stream: str) -> None:
-        """Note a first token."""
+    def on_first_token(self, stream: str) -> None:
+        """Handle the first token of an attempt."""
 
-    def ended(self, stream: str, tokens: int, pace: float) -> None:
-        """Note an attempt that ended well."""
+    def on_complete(
+        self, stream: str, tokens: int, token_interval_s: float
+    ) -> None:
+        """Handle an attempt that completed."""
 
-    def failed(self, stream: str, pair: Pair, decode: bool) -> None:
-        """Note an attempt that failed."""
+    def on_failure(self, stream: str, pair: Pair, is_decode: bool) -> None:
+        """Handle an attempt that failed."""
 
     def start(self) -> None:
-        """Start background work."""
+        """Start background tasks."""
 
 
-class _Quiet:
-    """A policy that learns nothing from what became of its requests."""
+class _NoFeedback:
+    """Base of policies that ignore the progress of their requests."""
 
-    def prefilled(self, stream: str, cached: int, seconds: float) -> None:
-        """Learn nothing."""
+    def on_prefill_done(
+        self, stream: str, cached: int, seconds: float
+    ) -> None:
+        """Do nothing."""
 
-    def decoding(self, stream: str) -> None:
-        """Learn nothing."""
+    def on_first_token(self, stream: str) -> None:
+        """Do nothing."""
 
-    def ended(self, stream: str, tokens: int, pace: float) -> None:
-        """Learn nothing."""
+    def on_complete(
+        self, stream: str, tokens: int, token_interval_s: float
+    ) -> None:
+        """Do nothing."""
 
-    def failed(self, stream: str, pair: Pair, decode: bool) -> None:
-        """Learn nothing."""
+    def on_failure(self, stream: str, pair: Pair, is_decode: bool) -> None:
+        """Do nothing."""
 
     def start(self) -> None:
-        """Start nothing."""
+        """Do nothing."""
 
 
-class RoundRobin(_Quiet):
-    """Each entry takes the engines in turn."""
+class RoundRobin(_NoFeedback):
+    """Each entry selects engines in turn, independently of the others."""
 
     def __init__(self, fleet: fleet_module.Fleet) -> None:
         self._fleet = fleet
         self._next: collections.Counter[int] = collections.Counter()
 
     async def place(
-        self, arrival: workloads.Arrival, attempt: int, left: float
+        self, arrival: workloads.Arrival, attempt: int, remaining_s: float
     ) -> Pair | Refused:
-        """Return the next pair."""
+        """Return the next pair of the entry."""
         turn = self._next[arrival.entry]
         self._next[arrival.entry] += 1
         return Pair(
@@ -117,8 +137,8 @@
         )
 
 
-class LeastLoad(_Quiet):
-    """Each entry alone takes the least loaded by the lagging reports."""
+class LeastLoad(_NoFeedback):
+    """Selects the engines with the least load in the delayed reports."""
 
     def __init__(self, fleet: fleet_module.Fleet, seed: int) -> None:
         self._fleet = fleet
@@ -126,64 +146,71 @@
         self._loads: dict[str, int] = {}
 
     def start(self) -> None:
-        """Read reports now and then."""
-        self._fleet.keep(self._read())
+        """Start to poll load reports."""
+        self._fleet.start_background(self._poll_reports())
 
     async def place(
-        self, arrival: workloads.Arrival, attempt: int, left: float
+        self, arrival: workloads.Arrival, attempt: int, remaining_s: float
     ) -> Pair | Refused:
         """Return the pair with the least reported load."""
         return Pair(
-            self._least('p', len(self._fleet.prefills)),
-            self._least('d', len(self._fleet.decodes)),
+            self._least_loaded('p', len(self._fleet.prefills)),
+            self._least_loaded('d', len(self._fleet.decodes)),
         )
 
-    def _least(self, letter: str, count: int) -> int:
+    def _least_loaded(self, prefix: str, count: int) -> int:
         def load(index: int) -> tuple[int, float]:
-            reported = self._loads.get(f'{letter}{index}', 0)
+            reported = self._loads.get(f'{prefix}{index}', 0)
             return reported, self._random.random()
 
         return min(range(count), key=load)
 
-    async def _read(self) -> None:
+    async def _poll_reports(self) -> None:
         while True:
             self._loads = {
-                name: held for name, (held, _) in self._fleet.reports().items()
+                name: queued
+                for name, (queued, _) in self._fleet.reports().items()
             }
             await asyncio.sleep(0.25)
 
 
 class PrefillFirst(LeastLoad):
-    """One place decides, by prefill queues alone; decode is seen to later."""
+    """Decides centrally by the lengths of prefill queues.
+
+    The decode engine is the one with the least reported load; no slot of it is
+    reserved.
+    """
 
     def __init__(self, fleet: fleet_module.Fleet, seed: int) -> None:
         super().__init__(fleet, seed)
-        self._placed: collections.Counter[int] = collections.Counter()
-        self._where: dict[str, int] = {}
+        self._queue_lengths: collections.Counter[int] = collections.Counter()
+        self._prefill_by_stream: dict[str, int] = {}
 
     async def place(
-        self, arrival: workloads.Arrival, attempt: int, left: float
+        self, arrival: workloads.Arrival, attempt: int, remaining_s: float
     ) -> Pair | Refused:
-        """Return the prefill engine with the shortest queue."""
+        """Return the engines with the shortest queue and the least load."""
         count = len(self._fleet.prefills)
-        prefill = min(range(count), key=lambda i: self._placed[i])
-        self._placed[prefill] += 1
-        self._where[f'{arrival.number}.{attempt}'] = prefill
-        return Pair(prefill, self._least('d', len(self._fleet.decodes)))
+        prefill = min(range(count), key=lambda i: self._queue_lengths[i])
+        self._queue_lengths[prefill] += 1
+        self._prefill_by_stream[f'{arrival.number}.{attempt}'] = prefill
+        return Pair(prefill, self._least_loaded('d', len(self._fleet.decodes)))
 
-    def prefilled(self, stream: str, cached: int, seconds: float) -> None:
-        """Count a prompt out of its queue."""
-        self._placed[self._where.pop(stream)] -= 1
+    def on_prefill_done(
+        self, stream: str, cached: int, seconds: float
+    ) -> None:
+        """Remove the prompt from the length of its queue."""
+        self._queue_lengths[self._prefill_by_stream.pop(stream)] -= 1
 
-    def failed(self, stream: str, pair: Pair, decode: bool) -> None:
-        """Count a prompt out of its queue."""
-        if stream in self._where:
-            self._placed[self._where.pop(stream)] -= 1
+    def on_failure(self, stream: str, pair: Pair, is_decode: bool) -> None:
+        """Remove the prompt from the length of its queue."""
+        if stream in self._prefill_by_stream:
+            self._queue_lengths[self._prefill_by_stream.pop(stream)] -= 1
 
 
 @dataclasses.dataclass(frozen=True)
 class Mechanisms:
-    """Mechanisms of the product's policy that can be switched off."""
+    """Mechanisms of the product's policy that can be disabled."""
 
     decode_first: bool = True
     shedding: bool = True
@@ -194,46 +221,48 @@
     queueing: bool = True
 
 
-class Owner:
-    """The product: a cell that decides for all entries."""
+class OwnerPolicy:
+    """The product: one cell decides for all entries."""
 
     def __init__(
         self,
         fleet: fleet_module.Fleet,
         workload: workloads.Workload,
         seed: int,
-        uses: Mechanisms,
+        mechanisms: Mechanisms,
     ) -> None:
         self._fleet = fleet
-        self._uses = uses
+        self._mechanisms = mechanisms
         self._service = schema.ModelService(
             ids.ServiceName('x'),
             'm',
             waste_weight=workload.waste_weight,
         )
         self._cell = cell_module.Cell(self._service, random.Random(seed))
-        engines = fleet.declared(10**6 if not uses.decode_first else 0)
+        engines = fleet.declarations(
+            10**6 if not mechanisms.decode_first else 0
+        )
         names = frozenset(engine.name for engine in engines)
         self._cell.configure(self._service, engines, {_SITE: names})
         self._waiting: dict[str, asyncio.Future[Pair | Refused]] = {}
         self._wake = asyncio.Event()
 
     def start(self) -> None:
-        """Decide whenever something changed or is due."""
-        self._fleet.keep(self._decide())
-        self._fleet.keep(self._read())
+        """Start the tasks that decide and that poll load reports."""
+        self._fleet.start_background(self._decide())
+        self._fleet.start_background(self._poll_reports())
 
     async def place(
-        self, arrival: workloads.Arrival, attempt: int, left: float
+        self, arrival: workloads.Arrival, attempt: int, remaining_s: float
     ) -> Pair | Refused:
-        """Ask the cell, over the network both ways."""
+        """Ask the cell, with the network delay of both directions."""
         await asyncio.sleep(self._fleet.delay(arrival.entry))
         stream = ids.StreamId(f'{arrival.number}.{attempt}')
         future: asyncio.Future[Pair | Refused]
         future = asyncio.get_running_loop().create_future()
         self._waiting[stream] = future
         decision = self._cell.submit(
-            self._request(arrival, stream, left), 1.0, self._now()
+            self._request(arrival, stream, remaining_s), 1.0, self._now()
         )
         if decision is not None:
             self._answer(decision)
@@ -246,42 +275,51 @@
         await asyncio.sleep(self._fleet.delay(arrival.entry))
         return answer
 
-    def prefilled(self, stream: str, cached: int, seconds: float) -> None:
-        """Tell the cell."""
-        news = messages.Progress(
+    def on_prefill_done(
+        self, stream: str, cached: int, seconds: float
+    ) -> None:
+        """Report the completed prefill to the cell."""
+        progress = messages.Progress(
             ids.StreamId(stream),
             states.Stage.TRANSFER,
             cached,
             0,
             seconds,
         )
-        self._cell.record_progress(news, self._now())
+        self._cell.record_progress(progress, self._now())
         self._wake.set()
 
-    def decoding(self, stream: str) -> None:
-        """Tell the cell."""
-        news = messages.Progress(ids.StreamId(stream), states.Stage.DECODE)
-        self._cell.record_progress(news, self._now())
+    def on_first_token(self, stream: str) -> None:
+        """Report the first token to the cell."""
+        progress = messages.Progress(ids.StreamId(stream), states.Stage.DECODE)
+        self._cell.record_progress(progress, self._now())
 
-    def ended(self, stream: str, tokens: int, pace: float) -> None:
-        """Tell the cell."""
-        release = messages.Release(ids.StreamId(stream), None, tokens, pace)
+    def on_complete(
+        self, stream: str, tokens: int, token_interval_s: float
+    ) -> None:
+        """Release the reservation of a completed attempt."""
+        release = messages.Release(
+            ids.StreamId(stream), None, tokens, token_interval_s
+        )
         self._cell.release(release, self._now())
         self._wake.set()
 
-    def failed(self, stream: str, pair: Pair, decode: bool) -> None:
-        """Tell the cell which engine failed."""
-        index = pair.decode if decode else pair.prefill
-        name = ids.EngineName(f'{"d" if decode else "p"}{index}')
-        blame = name if self._uses.health else None
+    def on_failure(self, stream: str, pair: Pair, is_decode: bool) -> None:
+        """Release the reservation and report the engine that failed."""
+        index = pair.decode if is_decode else pair.prefill
+        name = ids.EngineName(f'{"d" if is_decode else "p"}{index}')
+        blame = name if self._mechanisms.health else None
         release = messages.Release(ids.StreamId(stream), blame)
         self._cell.release(release, self._now())
         self._wake.set()
 
     def _request(
-        self, arrival: workloads.Arrival, stream: ids.StreamId, left: float
+        self,
+        arrival: workloads.Arrival,
+        stream: ids.StreamId,
+        remaining_s: float,
     ) -> messages.PlaceRequest:
-        uses = self._uses
+        mechanisms = self._mechanisms
         urgency = arrival.kind.urgency
         return messages.PlaceRequest(
             request=ids.RequestId(str(arrival.number)),
@@ -289,14 +327,18 @@
             entry=ids.MemberId(f'entry/{arrival.entry}'),
             service=self._service.name,
             site=_SITE,
-            caller=ids.CallerName(arrival.caller if uses.fairness else 'all'),
-            urgency=urgency if uses.urgency else states.Urgency.NORMAL,
+            caller=ids.CallerName(
+                arrival.caller if mechanisms.fairness else 'all'
+            ),
+            urgency=urgency if mechanisms.urgency else states.Urgency.NORMAL,
             prompt_tokens=arrival.tokens,
             output_tokens=arrival.kind.output,
-            patience=left if uses.shedding else _UNSHED_PATIENCE,
-            blocks=arrival.blocks if uses.cache else (),
+            patience=remaining_s
+            if mechanisms.shedding
+            else _UNLIMITED_PATIENCE_S,
+            blocks=arrival.blocks if mechanisms.cache else (),
             avoid=(),
-            data_centre=self._fleet.centre_of_entry(arrival.entry),
+            data_centre=self._fleet.data_centre_of_entry(arrival.entry),
             ticket=arrival.ticket,
         )
 
@@ -316,73 +358,81 @@
         while True:
             for decision in self._cell.decide(self._now()):
                 self._answer(decision)
-            look = self._cell.next_decision_at(self._now())
+            next_decision_at = self._cell.next_decision_at(self._now())
             self._wake.clear()
-            wait = 0.25 if look is None else max(_LOOK, look - self._now())
+            timeout_s = (
+                0.25
+                if next_decision_at is None
+                else max(
+                    _MIN_DECISION_INTERVAL_S, next_decision_at - self._now()
+                )
+            )
             try:
-                async with asyncio.timeout(wait):
+                async with asyncio.timeout(timeout_s):
                     await self._wake.wait()
             except asyncio.TimeoutError:
                 pass
 
-    async def _read(self) -> None:
-        """Take the engines' load reports."""
+    async def _poll_reports(self) -> None:
+        """Pass the token intervals in load reports to the cell."""
         while True:
-            await asyncio.sleep(_REPORT)
-            if not self._uses.health:
+            await asyncio.sleep(_REPORT_INTERVAL_S)
+            if not self._mechanisms.health:
                 continue
-            for name, (_, pace) in self._fleet.reports().items():
+            for name, (_, token_interval_s) in self._fleet.reports().items():
                 self._cell.record_token_interval(
-                    ids.EngineName(name), pace, self._now()
+                    ids.EngineName(name), token_interval_s, self._now()
                 )
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
 
-Make = typing.Callable[[fleet_module.Fleet, workloads.Workload, int], Policy]
+PolicyFactory = typing.Callable[
+    [fleet_module.Fleet, workloads.Workload, int], Policy
+]
 
 
-def _owner(uses: Mechanisms) -> Make:
-    def make(
+def _owner_factory(mechanisms: Mechanisms) -> PolicyFactory:
+    def create_policy(
         fleet: fleet_module.Fleet, workload: workloads.Workload, seed: int
     ) -> Policy:
-        return Owner(fleet, workload, seed, uses)
+        return OwnerPolicy(fleet, workload, seed, mechanisms)
 
-    return make
+    return create_policy
 
 
-def _least(
+def _create_least_load(
     fleet: fleet_module.Fleet, workload: workloads.Workload, seed: int
 ) -> Policy:
     return LeastLoad(fleet, seed)
 
 
-def _prefill_first(
+def _create_prefill_first(
     fleet: fleet_module.Fleet, workload: workloads.Workload, seed: int
 ) -> Policy:
     return PrefillFirst(fleet, seed)
 
 
-def _round_robin(
+def _create_round_robin(
     fleet: fleet_module.Fleet, workload: workloads.Workload, seed: int
 ) -> Policy:
     return RoundRobin(fleet)
 
 
-BASELINES: typing.Final[dict[str, Make]] = {
-    'round robin': _round_robin,
-    'least load': _least,
-    'prefill first': _prefill_first,
+BASELINES: typing.Final[dict[str, PolicyFactory]] = {
+    'round robin': _create_round_robin,
+    'least load': _create_least_load,
+    'prefill first': _create_prefill_first,
 }
 OURS: typing.Final = 'ours'
-POLICIES: typing.Final[dict[str, Make]] = {
+POLICIES: typing.Final[dict[str, PolicyFactory]] = {
     **BASELINES,
-    OURS: _owner(Mechanisms()),
-    'no decode first': _owner(Mechanisms(decode_first=False)),
-    'no shedding': _owner(Mechanisms(shedding=False)),
-    'no cache index': _owner(Mechanisms(cache=False)),
-    'no urgency': _owner(Mechanisms(urgency=False)),
-    'no fairness': _owner(Mechanisms(fairness=False)),
-    'no health': _owner(Mechanisms(health=False)),
+    OURS: _owner_factory(Mechanisms()),
+    'no decode first': _owner_factory(Mechanisms(decode_first=False)),
+    'no shedding': _owner_factory(Mechanisms(shedding=False)),
+    'no cache index': _owner_factory(Mechanisms(cache=False)),
+    'no urgency': _owner_factory(Mechanisms(urgency=False)),
+    'no fairness': _owner_factory(Mechanisms(fairness=False)),
+    'no health': _owner_factory(Mechanisms(health=False)),
 }
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""One run: a workload, a policy, a load, a fault and a seed."""
+"""Runs one scenario: a workload, policy, load, fault and seed."""
 
 import asyncio
 import collections
@@ -25,11 +25,11 @@
 from bench import workloads
 from galenahatch.test.standin import model
 
-PACE_TARGET: typing.Final = 0.054
-FAULT_AT: typing.Final = 20.0
-_DRAIN: typing.Final = 45.0
+TOKEN_INTERVAL_TARGET_S: typing.Final = 0.054
+FAULT_AT_S: typing.Final = 20.0
+_DRAIN_TIMEOUT_S: typing.Final = 45.0
 _SLOW_FACTOR: typing.Final = 4.0
-_LAG: typing.Final = 5.0
+_REPORT_LAG_S: typing.Final = 5.0
 PARAMS: typing.Final = model.Params(
     places=20,
     prefill_rate=4000.0,
@@ -44,13 +44,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scenario:
-    """What to run.
+    """The inputs of a run.
 
     Attributes:
-        load: of what the engines carry.
-        fault: name, or healthy.
-        params: changes to the engines' parameters, by name.
-        come_back: refused callers return once after Retry-After.
+        workload: name of the workload.
+        policy: name of the policy.
+        load: offered load, as a share of the capacity of the engines.
+        fault: name of the fault, or `healthy`.
+        seconds: duration of the arrivals.
+        params: parameters of the engines that differ from `PARAMS`.
+        retries_refused: whether refused callers retry once after Retry-After.
     """
 
     workload: str
@@ -60,38 +63,40 @@
     seed: int
     seconds: float = 60.0
     params: tuple[tuple[str, float], ...] = ()
-    come_back: bool = False
+    retries_refused: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class Outcome:
-    """What a run came to; shares are 0 to 1.
+    """The result of a run; shares are from 0 to 1.
 
     Attributes:
-        goodput: requests that met both targets over all offered.
-        waste: prefilled tokens never used over all prefilled.
-        refused: given up over all offered.
-        by_kind: goodput by class.
-        others: goodput of the callers beside the one that sends as much as
-            all of them, in the worst class.
-        reasons: refusals by reason.
-        returned_good: of the callers that came back, those served in time.
-        late_goodput: of the requests that came after the fault.
+        goodput: share of the offered requests that met both targets.
+        waste: share of the prefilled tokens that were never used.
+        refused: share of the offered requests that were refused.
+        goodput_by_kind: goodput of each class.
+        others: goodput, in the worst class, of all callers but
+            the one that sends as much as all of them together.
+        reasons: number of refusals by reason.
+        retry_goodput: goodput of the retries after a refusal.
+        goodput_after_fault: goodput of the requests that arrived after the
+            time of the fault.
+        offered: number of requests.
     """
 
     goodput: float
     waste: float
     refused: float
-    by_kind: dict[str, float]
+    goodput_by_kind: dict[str, float]
     others: float
     reasons: dict[str, int]
-    returned_good: float
-    late_goodput: float
+    retry_goodput: float
+    goodput_after_fault: float
     offered: int
 
 
-def params_of(scenario: Scenario) -> model.Params:
-    """Return the engines' parameters of a scenario."""
+def engine_params(scenario: Scenario) -> model.Params:
+    """Return the parameters of the engines in a scenario."""
     changes: dict[str, typing.Any] = dict(scenario.params)
     if 'places' in changes:
         changes['places'] = int(changes['places'])
@@ -99,17 +104,17 @@
 
 
 def run(scenario: Scenario) -> Outcome:
-    """Run a scenario under virtual time."""
+    """Run a scenario in virtual time."""
     return virtual.run(_run(scenario))
 
 
 async def _run(scenario: Scenario) -> Outcome:
     workload = workloads.WORKLOADS[scenario.workload]
-    params = params_of(scenario)
+    params = engine_params(scenario)
     fleet = fleet_module.Fleet(workload, params)
     if scenario.fault == 'reports lag':
         for name in fleet.names():
-            fleet.engine(name).params.lag = _LAG
+            fleet.engine(name).params.lag = _REPORT_LAG_S
     policy = policies.POLICIES[scenario.policy](fleet, workload, scenario.seed)
     policy.start()
     rate = scenario.load * workloads.capacity(workload, params)
@@ -122,11 +127,11 @@
     )
     runner = _Runner(scenario, fleet, policy)
     await runner.run(arrivals)
-    return _outcome(runner.records, runner.returned, fleet)
+    return _summarize(runner.records, runner.retry_records, fleet)
 
 
 class _Runner:
-    """Sends the arrivals and does the fault."""
+    """Sends the arrivals and injects the fault."""
 
     def __init__(
         self,
@@ -137,69 +142,77 @@
         self._scenario = scenario
         self._fleet = fleet
         self._policy = policy
-        self._courses: dict[
-            asyncio.Task[None], tuple[fleet_module.Course, int]
+        self._running_requests: dict[
+            asyncio.Task[None], tuple[fleet_module.RequestRun, int]
         ] = {}
         self._dead_entries: set[int] = set()
-        self.records: list[fleet_module.Record] = []
-        self.returned: list[fleet_module.Record] = []
+        self.records: list[fleet_module.RequestRecord] = []
+        self.retry_records: list[fleet_module.RequestRecord] = []
 
     async def run(self, arrivals: list[workloads.Arrival]) -> None:
-        """Send all, then let what runs come to its end."""
+        """Send all arrivals, then wait until their requests end."""
         faults = asyncio.create_task(self._fault())
         for arrival in arrivals:
             await asyncio.sleep(arrival.at - self._now())
             self._send(arrival, self.records)
-        if self._courses:
-            await asyncio.wait(list(self._courses), timeout=_DRAIN)
+        if self._running_requests:
+            await asyncio.wait(
+                list(self._running_requests), timeout=_DRAIN_TIMEOUT_S
+            )
         faults.cancel()
 
     def _send(
-        self, arrival: workloads.Arrival, kept: list[fleet_module.Record]
+        self,
+        arrival: workloads.Arrival,
+        records_to: list[fleet_module.RequestRecord],
     ) -> None:
         entry = arrival.entry
         while entry in self._dead_entries:
             entry = (entry + 1) % fleet_module.ENTRIES
         arrival = dataclasses.replace(arrival, entry=entry)
-        record = fleet_module.Record(
+        record = fleet_module.RequestRecord(
             arrival.number,
             arrival.kind.name,
             arrival.caller,
             arrival.at,
-            arrival.kind.first_token,
+            arrival.kind.first_token_target_s,
         )
-        kept.append(record)
-        course = fleet_module.Course(
+        records_to.append(record)
+        request_run = fleet_module.RequestRun(
             self._fleet, self._policy, arrival, record
         )
-        task = asyncio.create_task(course.run())
-        self._courses[task] = (course, arrival.entry)
-        task.add_done_callback(self._ended)
-        if self._scenario.come_back and kept is self.records:
-            task.add_done_callback(lambda _: self._come_back(arrival, record))
-
-    def _ended(self, task: asyncio.Task[None]) -> None:
-        self._courses.pop(task, None)
+        task = asyncio.create_task(request_run.run())
+        self._running_requests[task] = (request_run, arrival.entry)
+        task.add_done_callback(self._on_done)
+        if self._scenario.retries_refused and records_to is self.records:
+            task.add_done_callback(
+                lambda _: self._schedule_retry(arrival, record)
+            )
+
+    def _on_done(self, task: asyncio.Task[None]) -> None:
+        self._running_requests.pop(task, None)
         if not task.cancelled() and task.exception() is not None:
-            raise RuntimeError('a course failed') from task.exception()
+            raise RuntimeError(
+                'a simulated request failed'
+            ) from task.exception()
 
-    def _come_back(
-        self, arrival: workloads.Arrival, record: fleet_module.Record
+    def _schedule_retry(
+        self, arrival: workloads.Arrival, record: fleet_module.RequestRecord
     ) -> None:
         if not record.refused or not record.retry_after:
             return
         loop = asyncio.get_running_loop()
         at = self._now() + record.retry_after
-        again = dataclasses.replace(
+        retry = dataclasses.replace(
             arrival,
             number=arrival.number + 10**6,
             at=at,
             ticket=record.ticket,
         )
-        loop.call_at(at, self._send, again, self.returned)
+        loop.call_at(at, self._send, retry, self.retry_records)
 
     async def _fault(self) -> None:
-        await asyncio.sleep(FAULT_AT)
+        await asyncio.sleep(FAULT_AT_S)
         fault = self._scenario.fault
         if fault == 'decode killed':
             self._fleet.kill('d1')
@@ -208,70 +221,76 @@
         elif fault == 'decode slow':
             self._fleet.engine('d1').params.slow = _SLOW_FACTOR
         elif fault == 'centre cut off':
-            self._fleet.cut_centre = 1
-            await self._lose_entries(
+            self._fleet.isolated_data_centre = 1
+            await self._fail_entries(
                 entry
                 for entry in range(fleet_module.ENTRIES)
-                if self._fleet.centre(entry) == 1
+                if self._fleet.data_centre_index(entry) == 1
             )
         elif fault == 'entry killed':
-            await self._lose_entries([1])
+            await self._fail_entries([1])
 
-    async def _lose_entries(
+    async def _fail_entries(
         self, entries: collections.abc.Iterable[int]
     ) -> None:
-        """The balancer looks away from entries; what they had is lost."""
+        """Fail entries: they get no new requests and lose the running ones."""
         self._dead_entries.update(entries)
-        jobs = [
-            course.orphan(task)
-            for task, (course, at) in list(self._courses.items())
+        abandoned_runs = [
+            request_run.abandon(task)
+            for task, (request_run, at) in list(self._running_requests.items())
             if at in self._dead_entries
         ]
-        await asyncio.gather(*jobs)
+        await asyncio.gather(*abandoned_runs)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
 
-def _outcome(
-    records: list[fleet_module.Record],
-    returned: list[fleet_module.Record],
+def _summarize(
+    records: list[fleet_module.RequestRecord],
+    retry_records: list[fleet_module.RequestRecord],
     fleet: fleet_module.Fleet,
 ) -> Outcome:
     kinds = sorted({record.kind for record in records})
     refused = [record for record in records if record.refused]
     return Outcome(
-        goodput=_good(records),
+        goodput=_goodput(records),
         waste=fleet.wasted_share(),
         refused=len(refused) / max(1, len(records)),
-        by_kind={
-            kind: _good([r for r in records if r.kind == kind])
+        goodput_by_kind={
+            kind: _goodput([r for r in records if r.kind == kind])
             for kind in kinds
         },
-        others=min(_others(records, kind) for kind in kinds),
+        others=min(_other_callers_goodput(records, kind) for kind in kinds),
         reasons=dict(collections.Counter(r.refused for r in refused)),
-        returned_good=_good(returned),
-        late_goodput=_good([r for r in records if r.at >= FAULT_AT]),
+        retry_goodput=_goodput(retry_records),
+        goodput_after_fault=_goodput(
+            [r for r in records if r.at >= FAULT_AT_S]
+        ),
         offered=len(records),
     )
 
 
-def _good(records: list[fleet_module.Record]) -> float:
-    good = sum(record.good(PACE_TARGET) for record in records)
-    return good / max(1, len(records))
+def _goodput(records: list[fleet_module.RequestRecord]) -> float:
+    met_count = sum(
+        record.met_targets(TOKEN_INTERVAL_TARGET_S) for record in records
+    )
+    return met_count / max(1, len(records))
 
 
-def _others(records: list[fleet_module.Record], kind: str) -> float:
-    """Return the goodput of the callers beside the one that crowds in."""
-    found = [
+def _other_callers_goodput(
+    records: list[fleet_module.RequestRecord], kind: str
+) -> float:
+    """Return the goodput of all callers but the heavy one."""
+    selected = [
         record
         for record in records
         if record.kind == kind and not record.caller.endswith('-0')
     ]
-    return _good(found)
+    return _goodput(selected)
 
 
-def spread(values: typing.Sequence[float]) -> str:
-    """Return the median of some shares with their range."""
+def format_spread(values: typing.Sequence[float]) -> str:
+    """Format the median of some shares and their range."""
     middle = statistics.median(values)
     return f'{middle:.3f} ({min(values):.3f}-{max(values):.3f})'
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -10,11 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The users' workloads at the brief's sizes, as open-loop arrivals.
+"""Workloads of two users, as open-loop arrivals.
 
-Lengths are drawn per class; part of the prompts begin with one of a few
-templates, so that prefix caches matter. `capacity` says how many requests
-a second the engines carry by the time model, cache hits included.
+Lengths are drawn for each class. A share of the prompts begins with one of a
+few templates, so that prefix caches have an effect. `capacity` computes from
+the time model how many requests a second the engines can serve, with cache
+hits.
 """
 
 import dataclasses
@@ -26,11 +27,15 @@
 from galenahatch.test.standin import model
 
 BYTES_PER_TOKEN: typing.Final = 4
-_MEAN_LENGTH: typing.Final = 0.66
+_MEAN_OUTPUT_SHARE: typing.Final = 0.66
+"""Mean length of an output, as a share of max_tokens."""
 _TEMPLATES: typing.Final = 8
 _TEMPLATE_SHARE: typing.Final = 0.5
-_TEMPLATE_PART: typing.Final = 0.5
-_CROWD_SHARE: typing.Final = 0.5
+"""Share of prompts that begin with a template."""
+_TEMPLATE_PROMPT_SHARE: typing.Final = 0.5
+"""Length of a template, as a share of the mean prompt."""
+_HEAVY_CALLER_SHARE: typing.Final = 0.5
+"""Share of the requests that the first caller sends."""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -38,11 +43,12 @@
     """One class of requests.
 
     Attributes:
-        share: of all requests.
-        prompt: mean prompt tokens; drawn from half to one and a half.
-        output: max_tokens.
-        first_token: target, seconds.
-        callers: how many callers send it.
+        share: share of all requests.
+        prompt: mean prompt tokens; lengths are 0.5 to 1.5 times the mean.
+        output: max_tokens of a request.
+        urgency: urgency of the class.
+        first_token_target_s: target for the time to the first token.
+        callers: number of callers that send the class.
     """
 
     name: str
@@ -50,21 +56,22 @@
     prompt: int
     output: int
     urgency: states.Urgency
-    first_token: float
+    first_token_target_s: float
     callers: int = 4
 
 
 @dataclasses.dataclass(frozen=True)
 class Workload:
-    """One user's service.
+    """The model service of one user.
 
     Attributes:
         kinds: classes of requests.
         prefills: number of prefill engines.
         decodes: number of decode engines.
-        data_centres: over which engines and entries are spread.
-        one_way: seconds between data centres.
-        waste_weight: the user's setting.
+        data_centres: number of data centres; engines and entries are spread
+            evenly over them.
+        one_way_delay_s: one-way delay in seconds between data centres.
+        waste_weight: `waste_weight` setting of the service.
     """
 
     name: str
@@ -72,7 +79,7 @@
     prefills: int
     decodes: int
     data_centres: int
-    one_way: float
+    one_way_delay_s: float
     waste_weight: float
 
 
@@ -85,7 +92,7 @@
     prefills=6,
     decodes=4,
     data_centres=3,
-    one_way=0.0005,
+    one_way_delay_s=0.0005,
     waste_weight=0.2,
 )
 CUMANN: typing.Final = Workload(
@@ -97,7 +104,7 @@
     prefills=5,
     decodes=3,
     data_centres=4,
-    one_way=0.0015,
+    one_way_delay_s=0.0015,
     waste_weight=0.8,
 )
 WORKLOADS: typing.Final = {w.name: w for w in (BREMBANA, CUMANN)}
@@ -108,9 +115,11 @@
     """One request.
 
     Attributes:
-        at: seconds.
-        entry: which of the six entries it meets.
-        ticket: of an earlier refusal.
+        at: seconds from the start of the run.
+        tokens: prompt tokens.
+        blocks: hashes of the prompt's blocks, for the prefix cache.
+        entry: index of the entry that receives it.
+        ticket: queue ticket of an earlier refusal, or an empty string.
     """
 
     number: int
@@ -125,61 +134,61 @@
 
 
 def capacity(workload: Workload, params: model.Params) -> float:
-    """Return the requests a second that the engines carry."""
-    full = params.step + params.step_per_stream * (params.places - 1)
-    prefill = 0.0
-    decode = 0.0
+    """Return the requests a second that the engines can serve."""
+    full_step_s = params.step + params.step_per_stream * (params.places - 1)
+    prefill_s = 0.0
+    decode_s = 0.0
     for kind in workload.kinds:
-        cached = _TEMPLATE_SHARE * _TEMPLATE_PART
-        tokens = kind.prompt * (1 - cached)
-        prefill += kind.share * tokens / params.prefill_rate
-        transfer = kind.prompt * params.kv_bytes / params.link_rate
-        hold = kind.output * _MEAN_LENGTH * full + transfer
-        decode += kind.share * hold
-    by_prefill = workload.prefills / prefill
-    by_decode = workload.decodes * params.places / decode
-    return min(by_prefill, by_decode)
+        cached_share = _TEMPLATE_SHARE * _TEMPLATE_PROMPT_SHARE
+        tokens = kind.prompt * (1 - cached_share)
+        prefill_s += kind.share * tokens / params.prefill_rate
+        transfer_s = kind.prompt * params.kv_bytes / params.link_rate
+        hold_s = kind.output * _MEAN_OUTPUT_SHARE * full_step_s + transfer_s
+        decode_s += kind.share * hold_s
+    prefill_bound_rate = workload.prefills / prefill_s
+    decode_bound_rate = workload.decodes * params.places / decode_s
+    return min(prefill_bound_rate, decode_bound_rate)
 
 
 def arrivals(
     workload: Workload, rate: float, seconds: float, seed: int, entries: int
 ) -> list[Arrival]:
-    """Return Poisson arrivals with a fixed seed."""
-    source = random.Random(seed)
-    found: list[Arrival] = []
+    """Return Poisson arrivals that depend on the seed only."""
+    rng = random.Random(seed)
+    drawn: list[Arrival] = []
     at = 0.0
     while True:
-        at += source.expovariate(rate)
+        at += rng.expovariate(rate)
         if at >= seconds:
-            return found
-        found.append(_draw(workload, source, len(found), at, entries))
+            return drawn
+        drawn.append(_draw_arrival(workload, rng, len(drawn), at, entries))
 
 
-def _caller(source: random.Random, kind: Kind) -> int:
-    """Return a caller; the first sends as much as all others together."""
-    if source.random() < _CROWD_SHARE:
+def _draw_caller(rng: random.Random, kind: Kind) -> int:
+    """Draw a caller; the first sends as much as all others together."""
+    if rng.random() < _HEAVY_CALLER_SHARE:
         return 0
-    return source.randrange(1, kind.callers)
+    return rng.randrange(1, kind.callers)
 
 
-def _draw(
+def _draw_arrival(
     workload: Workload,
-    source: random.Random,
+    rng: random.Random,
     number: int,
     at: float,
     entries: int,
 ) -> Arrival:
     weights = [kind.share for kind in workload.kinds]
-    kind = source.choices(workload.kinds, weights)[0]
-    tokens = int(kind.prompt * source.uniform(0.5, 1.5))
+    kind = rng.choices(workload.kinds, weights)[0]
+    tokens = int(kind.prompt * rng.uniform(0.5, 1.5))
     prefix = ''
-    if source.random() < _TEMPLATE_SHARE:
-        template = f'{kind.name} {source.randrange(_TEMPLATES)} '
-        size = int(kind.prompt * _TEMPLATE_PART) * BYTES_PER_TOKEN
-        prefix = (template * (size // len(template) + 1))[:size]
-    own = f'{number} {source.random()} '
-    size = max(1, tokens * BYTES_PER_TOKEN - len(prefix))
-    prompt = prefix + (own * (size // len(own) + 1))[:size]
+    if rng.random() < _TEMPLATE_SHARE:
+        template = f'{kind.name} {rng.randrange(_TEMPLATES)} '
+        length = int(kind.prompt * _TEMPLATE_PROMPT_SHARE) * BYTES_PER_TOKEN
+        prefix = (template * (length // len(template) + 1))[:length]
+    suffix = f'{number} {rng.random()} '
+    length = max(1, tokens * BYTES_PER_TOKEN - len(prefix))
+    prompt = prefix + (suffix * (length // len(suffix) + 1))[:length]
     return Arrival(
         number=number,
         at=at,
@@ -187,6 +196,6 @@
         prompt=prompt,
         tokens=model.token_count(prompt),
         blocks=cache.hash_blocks(prompt),
-        caller=f'{kind.name}-{_caller(source, kind)}',
-        entry=source.randrange(entries),
+        caller=f'{kind.name}-{_draw_caller(rng, kind)}',
+        entry=rng.randrange(entries),
     )
