--- a/galenahatch/cancelling.py
+++ b/galenahatch/cancelling.py
@@ -86,7 +86,7 @@
         self._open.add(stream)
         metrics.cancels.add(1, {'cause': cause})
         names = sorted(set(engines))
-        self._owner.once(self._cancel_all(stream, names, cause, then))
+        self._owner.run_once(self._cancel_all(stream, names, cause, then))
 
     async def _cancel_all(
         self,
--- a/galenahatch/changes.py
+++ b/galenahatch/changes.py
@@ -105,7 +105,7 @@
         number = (read.revision if read else 0) + 1
         head = revision.Head(
             ids.Revision(number),
-            ids.ChangeId(clock.token()),
+            ids.ChangeId(clock.random_token()),
             digest,
             author,
             note,
--- a/galenahatch/claiming.py
+++ b/galenahatch/claiming.py
@@ -104,7 +104,7 @@
         self, key: ids.ClaimKey, fingerprint: str
     ) -> Claimed | claim.Answer | errors.Failure:
         """Claim a key for one run."""
-        token = ids.ClaimToken(clock.token())
+        token = ids.ClaimToken(clock.random_token())
         self._holdings.add_pending(token)
         request = messages.ClaimRequest(
             key,
@@ -158,7 +158,7 @@
     def finish(self, claimed: Claimed, answer: claim.Answer) -> None:
         """Keep an answer and store it in the background."""
         self._holdings.finish(claimed.token, answer)
-        self._owner.once(self._store(claimed, answer))
+        self._owner.run_once(self._store(claimed, answer))
 
     def take(self, message: messages.AnyMessage) -> None:
         """Take a message about claims from a scheduler."""
@@ -242,7 +242,7 @@
     def _void(self, claimed: Claimed) -> None:
         if claimed.token not in self._voiding:
             self._voiding[claimed.token] = claimed
-            self._owner.once(self._remove(claimed))
+            self._owner.run_once(self._remove(claimed))
 
     async def _remove(self, claimed: Claimed) -> None:
         """Remove a claim until the table no longer has it."""
--- a/galenahatch/clock.py
+++ b/galenahatch/clock.py
@@ -24,7 +24,7 @@
 import time
 import typing
 
-_LEAST_SUSPENSION: typing.Final = 0.05
+_MIN_SUSPENSION_S: typing.Final = 0.05
 """Seconds; the process may be interrupted between reading two clocks."""
 RANDOM: typing.Final = random.SystemRandom()
 
@@ -34,37 +34,37 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def awake() -> float:
+def unsuspended() -> float:
     """Return monotonic seconds in which the VM was not suspended."""
     return time.monotonic()
 
 
-def suspended() -> float:
+def total_suspension() -> float:
     """Return the seconds of all suspensions so far, plus a constant."""
-    return now() - awake()
+    return now() - unsuspended()
 
 
-class Suspension:
+class SuspensionDetector:
     """Finds out that the VM was suspended: the clocks have moved apart."""
 
     def __init__(self) -> None:
-        self._apart = suspended()
+        self._total_s = total_suspension()
 
-    def look(self) -> float:
+    def poll(self) -> float:
         """Return the seconds of suspension since the last look, or 0."""
-        apart = suspended()
-        seconds = apart - self._apart
-        if seconds < _LEAST_SUSPENSION:
+        total_s = total_suspension()
+        suspension_s = total_s - self._total_s
+        if suspension_s < _MIN_SUSPENSION_S:
             return 0.0
-        self._apart = apart
-        return seconds
+        self._total_s = total_s
+        return suspension_s
 
 
-def token() -> str:
+def random_token() -> str:
     """Return a fresh random token of 128 bits."""
     return f'{RANDOM.getrandbits(128):032x}'
 
 
-def incarnation() -> int:
+def random_incarnation() -> int:
     """Return a random number that tells a process from its successor."""
     return RANDOM.getrandbits(48)
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -69,11 +69,12 @@
         self.peers.report(self._note_ready)
         self.join()
         pause = options.lease / _RENEWALS
-        self.tasks.keep(
-            'lease', lambda: tasks.every(lambda: pause, self._renew)
+        self.tasks.run_forever(
+            'lease', lambda: tasks.run_periodically(lambda: pause, self._renew)
         )
-        self.tasks.keep(
-            'orders', lambda: tasks.every(lambda: _LOOK, self._repair)
+        self.tasks.run_forever(
+            'orders',
+            lambda: tasks.run_periodically(lambda: _LOOK, self._repair),
         )
         app = web.Application()
         app.add_routes(application.health_routes(self._why_not_ready))
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -118,8 +118,8 @@
     def run(self) -> None:
         """Start the task that reads the table."""
         poll = self._options.config_poll
-        self._owner.keep(
-            'config', lambda: tasks.every(lambda: poll, self._read)
+        self._owner.run_forever(
+            'config', lambda: tasks.run_periodically(lambda: poll, self._read)
         )
 
     def hint(self, member: ids.MemberId, seen: ids.Revision) -> None:
@@ -134,7 +134,7 @@
         if isinstance(accepted, errors.Failure):
             _log.warning('Configuration dropped.', detail=accepted.detail)
             return
-        self._owner.once(self._take(accepted, 'peer'))
+        self._owner.run_once(self._take(accepted, 'peer'))
 
     async def _read(self) -> None:
         values = await self._table.read([revision_module.HEAD_KEY])
--- a/galenahatch/gateway/connections.py
+++ b/galenahatch/gateway/connections.py
@@ -138,7 +138,7 @@
             self.stop_listening()
         self._close_idle()
         # A connection accepted just now is registered in the next iteration.
-        await timeouts.look_around()
+        await timeouts.process_pending_events()
         return self._listener is None and not self.connections
 
     def stop_listening(self) -> None:
--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -115,9 +115,9 @@
 
     def run(self) -> None:
         """Start following the store."""
-        self._tasks.keep('config feed', self._config_feed.run)
-        self._tasks.keep('upstream feed', self._upstream_feed.run)
-        self._tasks.keep('restores', self.entries.run)
+        self._tasks.run_forever('config feed', self._config_feed.run)
+        self._tasks.run_forever('upstream feed', self._upstream_feed.run)
+        self._tasks.run_forever('restores', self.entries.run)
 
     @property
     def reaches_store(self) -> bool:
--- a/galenahatch/gateway/inflight.py
+++ b/galenahatch/gateway/inflight.py
@@ -60,7 +60,7 @@
         if upstream in self._ended_at:
             seconds = min(seconds or _GRACE_S, _GRACE_S)
         async with asyncio.timeout(None) as scope:
-            timer = timeouts.Alarm(scope, seconds)
+            timer = timeouts.Timer(scope, seconds)
             scopes = self._active.setdefault(upstream, set())
             scopes.add(scope)
             try:
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -113,7 +113,7 @@
         self._notices = exchanges.notices
         self._handler = handler
         self._tasks = background
-        self._incarnation = clock.incarnation()
+        self._incarnation = clock.random_incarnation()
         self._roster = rosters.Roster(
             store,
             directory.outage,
@@ -157,11 +157,11 @@
 
     def run(self) -> None:
         """Join, and start to exchange heartbeats."""
-        self._tasks.keep('join', self._roster.join)
-        self._tasks.keep('member feed', self._roster.feed.run)
-        self._tasks.keep('listening', self._watch_event_loop)
-        self._tasks.keep('beats', self._send_heartbeats)
-        self._tasks.keep(
+        self._tasks.run_forever('join', self._roster.join)
+        self._tasks.run_forever('member feed', self._roster.feed.run)
+        self._tasks.run_forever('listening', self._watch_event_loop)
+        self._tasks.run_forever('beats', self._send_heartbeats)
+        self._tasks.run_forever(
             'quarantine',
             lambda: self._guard.run(lambda: self._owner == self.me),
         )
@@ -208,11 +208,11 @@
         return name
 
     async def _watch_event_loop(self) -> None:
-        suspension = clock.Suspension()
+        suspension = clock.SuspensionDetector()
         while True:
-            suspended_s = suspension.look()
+            suspended_s = suspension.poll()
             if suspended_s:
-                limits = timeouts.catch_up(suspended_s)
+                limits = timeouts.deduct_suspension(suspended_s)
                 _log.warning('Suspended.', seconds=suspended_s, limits=limits)
             stalled_s = self._members.record_listen(clock.now())
             if stalled_s:
--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -225,7 +225,7 @@
             self._notices,
         ).start(self._background_tasks)
         self._orders.run()
-        self._background_tasks.keep('members', self._refresh)
+        self._background_tasks.run_forever('members', self._refresh)
 
     async def _listen(self) -> None:
         settings = self._settings
--- a/galenahatch/gateway/orders.py
+++ b/galenahatch/gateway/orders.py
@@ -96,7 +96,7 @@
 
     def run(self) -> None:
         """Start sending orders whenever this gateway is the owner."""
-        self._tasks.keep('orders', self._run)
+        self._tasks.run_forever('orders', self._run)
 
     async def _run(self) -> None:
         while True:
@@ -134,7 +134,7 @@
     ) -> None:
         """Handle a request for a stage change, or the reply to one."""
         if isinstance(message, messages.StageChangeRequest):
-            self._tasks.once(self._send_for_peer(member, message))
+            self._tasks.run_once(self._send_for_peer(member, message))
             return
         if message.ordered:
             return
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -88,7 +88,7 @@
 
     def start(self, background: tasks.Tasks) -> None:
         """Start the scheduling task."""
-        background.keep('decide', self._decide_forever)
+        background.run_forever('decide', self._decide_forever)
 
     @property
     def dispatchers(
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -212,4 +212,4 @@
                     detail=reply.detail,
                 )
 
-        self._means.tasks.once(delete_handle())
+        self._means.tasks.run_once(delete_handle())
--- a/galenahatch/gateway/reports.py
+++ b/galenahatch/gateway/reports.py
@@ -66,7 +66,7 @@
 
     def start(self, background: tasks.Tasks) -> None:
         """Start the polling task."""
-        background.keep('reports', self._poll_forever)
+        background.run_forever('reports', self._poll_forever)
 
     async def _poll_forever(self) -> None:
         while True:
--- a/galenahatch/inbound.py
+++ b/galenahatch/inbound.py
@@ -131,7 +131,7 @@
         urgency = schema.urgency(headers[PRIORITY].lower())
         if urgency is None:
             return _bad_header(PRIORITY, 'urgent, normal or bulk')
-    request = ids.RequestId(f'r{clock.token()[:20]}')
+    request = ids.RequestId(f'r{clock.random_token()[:20]}')
     ticket = headers.get(TICKET, '')
     if len(ticket) > _LONGEST_KEY:
         return _bad_header(TICKET, 'the ticket of a refusal')
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -71,7 +71,7 @@
         self._listeners: list[VmListener] = []
         self._reports: list[collections.abc.Callable[[], None]] = []
         self._system_vms: dict[str, vms.Vm] = {}
-        self.incarnation = clock.incarnation()
+        self.incarnation = clock.random_incarnation()
         self.member = member_id(role, options)
         self.membership = membership.Membership(self._silence())
         self.standing = states.Standing.LIVE
@@ -91,9 +91,13 @@
         for address in self._options.peers:
             self._connect(address)
         interval = self.interval
-        owner.keep('heartbeats', lambda: tasks.every(interval, self._beat))
+        owner.run_forever(
+            'heartbeats', lambda: tasks.run_periodically(interval, self._beat)
+        )
         poll = self._options.vms_poll
-        owner.keep('vms', lambda: tasks.every(lambda: poll, self._read_vms))
+        owner.run_forever(
+            'vms', lambda: tasks.run_periodically(lambda: poll, self._read_vms)
+        )
 
     def close(self) -> None:
         """Close every link."""
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -301,7 +301,7 @@
     def _make_cell(self, plan: cells_module.CellConfig) -> cell_module.Cell:
         cell = self._cells.get(plan.cell)
         if cell is None:
-            source = random.Random(clock.incarnation())
+            source = random.Random(clock.random_incarnation())
             cell = cell_module.Cell(plan.service, source)
             self._cells[plan.cell] = cell
         cell.configure(plan.service, plan.engines, plan.allowed_by_site)
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -109,17 +109,19 @@
         self.peers.listen(self._listed)
         self.peers.report(self._refresh)
         self.join()
-        keep = self.tasks.keep
+        keep = self.tasks.run_forever
         keep('placement', self._placement.run)
         keep('claims', self._claims.run)
         keep(
             'orphans',
-            lambda: tasks.every(
+            lambda: tasks.run_periodically(
                 lambda: orphans_module.LOOK, self._orphans.look
             ),
         )
         poll = self.options.load_poll
-        keep('probes', lambda: tasks.every(lambda: poll, self._probe))
+        keep(
+            'probes', lambda: tasks.run_periodically(lambda: poll, self._probe)
+        )
 
     def _busy(self) -> bool:
         return bool(
--- a/galenahatch/tasks.py
+++ b/galenahatch/tasks.py
@@ -22,7 +22,7 @@
 
 from galenahatch import logs
 
-_RESTART_PAUSE: typing.Final = 0.5
+_RESTART_DELAY_S: typing.Final = 0.5
 _log = logs.Log('tasks')
 
 Work = collections.abc.Callable[
@@ -36,20 +36,20 @@
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def keep(self, name: str, work: Work) -> None:
+    def run_forever(self, name: str, work: Work) -> None:
         """Run something until the application stops.
 
         Args:
             name: for the log.
             work: called again should it fail.
         """
-        self._add(asyncio.create_task(_kept(name, work)))
+        self._add(asyncio.create_task(_run_with_restarts(name, work)))
 
-    def once(
+    def run_once(
         self, work: collections.abc.Coroutine[None, None, None]
     ) -> asyncio.Task[None]:
         """Run something to its end."""
-        task = asyncio.create_task(_logged(work))
+        task = asyncio.create_task(_run_logging_failure(work))
         self._add(task)
         return task
 
@@ -69,16 +69,16 @@
         task.add_done_callback(self._tasks.discard)
 
 
-async def _kept(name: str, work: Work) -> None:
+async def _run_with_restarts(name: str, work: Work) -> None:
     while True:
         try:
             await work()
         except Exception as error:  # noqa: H201  (logged and restarted)
             _log.error('Task failed.', task=name, error=repr(error))
-        await asyncio.sleep(_RESTART_PAUSE)
+        await asyncio.sleep(_RESTART_DELAY_S)
 
 
-async def _logged(
+async def _run_logging_failure(
     work: collections.abc.Coroutine[None, None, None],
 ) -> None:
     try:
@@ -87,8 +87,8 @@
         _log.error('Task failed.', error=repr(error))
 
 
-async def every(
-    seconds: collections.abc.Callable[[], float],
+async def run_periodically(
+    interval_s: collections.abc.Callable[[], float],
     work: collections.abc.Callable[
         [], collections.abc.Coroutine[None, None, None]
     ],
@@ -101,4 +101,4 @@
     """
     while True:
         await work()
-        await asyncio.sleep(seconds())
+        await asyncio.sleep(interval_s())
--- a/galenahatch/test/test_suspensions.py
+++ b/galenahatch/test/test_suspensions.py
@@ -68,11 +68,11 @@
 
 def test_suspension_is_noticed_once(vm: _Vm) -> None:
     """It is found by the clocks that have moved apart."""
-    suspension = clock.Suspension()
-    assert suspension.look() == 0.0
+    suspension = clock.SuspensionDetector()
+    assert suspension.poll() == 0.0
     vm.suspend(_SLEPT)
-    assert suspension.look() == pytest.approx(_SLEPT, abs=0.05)
-    assert suspension.look() == 0.0
+    assert suspension.poll() == pytest.approx(_SLEPT, abs=0.05)
+    assert suspension.poll() == 0.0
 
 
 class _Rows:
@@ -106,7 +106,7 @@
         waiting = asyncio.ensure_future(wait())
         await asyncio.sleep(0.05)
         vm.suspend(_LIMIT)
-        timeouts.catch_up(_LIMIT)
+        timeouts.deduct_suspension(_LIMIT)
         began = time.monotonic()
         with pytest.raises(asyncio.TimeoutError):
             await asyncio.wait_for(waiting, _SOON)
@@ -143,7 +143,7 @@
         try:
             async with timeouts.limit(_SLEPT + 0.3):
                 vm.suspend(_SLEPT)
-                timeouts.catch_up(_SLEPT)
+                timeouts.deduct_suspension(_SLEPT)
                 await asyncio.sleep(0.1)
                 return True
         except asyncio.TimeoutError:
@@ -159,7 +159,7 @@
         queue: asyncio.Queue[str] = asyncio.Queue()
         async with timeouts.limit(_LIMIT):
             vm.suspend(2 * _LIMIT)
-            timeouts.catch_up(2 * _LIMIT)
+            timeouts.deduct_suspension(2 * _LIMIT)
             asyncio.get_running_loop().call_soon(queue.put_nowait, 'answer')
             return await queue.get()
 
@@ -192,7 +192,7 @@
         vm.suspend(_SLEPT)
         try:
             async with timeouts.limit(_SOON):
-                timeouts.catch_up(_SLEPT)
+                timeouts.deduct_suspension(_SLEPT)
                 await asyncio.sleep(0.1)
                 return True
         except asyncio.TimeoutError:
--- a/galenahatch/timeouts.py
+++ b/galenahatch/timeouts.py
@@ -31,14 +31,14 @@
 
 from galenahatch import clock
 
-_TURNS: typing.Final = 12
+_GRACE_ITERATIONS: typing.Final = 12
 """Turns of the loop for which what has come is still taken. The HTTP library
 needs four for a connection, over either loop (found by running the tests of
 pauses with fewer), and this is three times that. A turn without work costs 2
 to 4 us of a processor."""
 
 
-class Alarm:
+class Timer:
     """Ends a scope when its time is over and nothing has come.
 
     Args:
@@ -50,18 +50,18 @@
         self._scope = scope
         self._loop = asyncio.get_running_loop()
         self._handle: asyncio.Handle | None = None
-        self._suspended = clock.suspended()
+        self._suspended_s = clock.total_suspension()
         if seconds is not None:
-            self._rings_at = self._loop.time() + seconds
-            self._set()
+            self._expires_at = self._loop.time() + seconds
+            self._schedule()
 
     def cancel(self) -> None:
         """End nothing any more; to be called when the scope is left."""
-        _SET.discard(self)
+        _ACTIVE_TIMERS.discard(self)
         if self._handle is not None:
             self._handle.cancel()
 
-    def move_up(self, seconds: float) -> None:
+    def shorten(self, seconds: float) -> None:
         """Ring earlier; only for one whose time is not over yet.
 
         Args:
@@ -70,34 +70,38 @@
         """
         if self._handle is not None:
             self._handle.cancel()
-        suspended = clock.suspended()
-        self._rings_at -= min(seconds, suspended - self._suspended)
-        self._suspended = suspended
-        self._set()
-
-    def _set(self) -> None:
-        _SET.add(self)
-        left = max(0.0, self._rings_at - self._loop.time())
-        self._handle = self._loop.call_later(left, self._ring, _TURNS)
-
-    def _ring(self, turns: int) -> None:
-        _SET.discard(self)
-        if turns:
-            self._handle = self._loop.call_soon(self._ring, turns - 1)
+        suspended_s = clock.total_suspension()
+        self._expires_at -= min(seconds, suspended_s - self._suspended_s)
+        self._suspended_s = suspended_s
+        self._schedule()
+
+    def _schedule(self) -> None:
+        _ACTIVE_TIMERS.add(self)
+        remaining_s = max(0.0, self._expires_at - self._loop.time())
+        self._handle = self._loop.call_later(
+            remaining_s, self._expire, _GRACE_ITERATIONS
+        )
+
+    def _expire(self, remaining_iterations: int) -> None:
+        _ACTIVE_TIMERS.discard(self)
+        if remaining_iterations:
+            self._handle = self._loop.call_soon(
+                self._expire, remaining_iterations - 1
+            )
         elif not self._scope.expired():
             self._scope.reschedule(self._loop.time())
 
 
-_SET: typing.Final[set[Alarm]] = set()
+_ACTIVE_TIMERS: typing.Final[set[Timer]] = set()
 """Alarms whose time is not over."""
 
 
-def catch_up(seconds: float) -> int:
+def deduct_suspension(seconds: float) -> int:
     """Move all limits up by a suspension; return how many there are."""
-    moved = list(_SET)
-    for alarm in moved:
-        alarm.move_up(seconds)
-    return len(moved)
+    timers = list(_ACTIVE_TIMERS)
+    for timer in timers:
+        timer.shorten(seconds)
+    return len(timers)
 
 
 @contextlib.asynccontextmanager
@@ -111,14 +115,14 @@
         asyncio.TimeoutError: the time is over, and nothing has come.
     """
     async with asyncio.timeout(None) as scope:
-        alarm = Alarm(scope, seconds)
+        timer = Timer(scope, seconds)
         try:
             yield
         finally:
-            alarm.cancel()
+            timer.cancel()
 
 
-async def look_around() -> None:
+async def process_pending_events() -> None:
     """Return when the loop has read what came while it did not run."""
-    for _ in range(_TURNS):
+    for _ in range(_GRACE_ITERATIONS):
         await asyncio.sleep(0)
