--- a/bench/logs.py
+++ b/bench/logs.py
@@ -27,7 +27,7 @@
 
 _KINDS: typing.Final = 100
 """Kinds of lines: what is over a rate for each is left out, and cheaper."""
-_LINES: typing.Final = _KINDS * logs.MOST_LINES
+_LINES: typing.Final = _KINDS * logs.MAX_LINES_PER_SECOND
 
 
 def _cost(write: bool) -> float:
@@ -55,7 +55,7 @@
     told = os.dup(sys.stdout.fileno())
     nowhere = os.open(os.devnull, os.O_WRONLY)
     os.dup2(nowhere, sys.stdout.fileno())
-    logs.set_up_bounded('info')
+    logs.configure_bounded('info')
     cost = _cost(True) - _cost(False)
     text = f'{cost * 1e6:.1f} us of processor time a line\n'
     os.write(told, text.encode())
--- a/galenahatch/application.py
+++ b/galenahatch/application.py
@@ -42,7 +42,9 @@
 from galenahatch import telemetry
 from galenahatch.upstream import http as upstream
 
-_NO_TIMER: typing.Final = datetime.timedelta(days=7).total_seconds()
+_NO_SHUTDOWN_TIMEOUT_S: typing.Final = datetime.timedelta(
+    days=7
+).total_seconds()
 
 
 class Daemon(aiomisc.Service):
@@ -58,13 +60,13 @@
         self.options = options
         self.tasks = tasks.Tasks()
         self._runner: web.AppRunner | None = None
-        self._platform: aiohttp.ClientSession | None = None
+        self._platform_client: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
         """Start the daemon."""
         raise TypeError('a daemon defines start')
 
-    def open(self, role: states.Role, handler: peers.Handler) -> None:
+    def open_clients(self, role: states.Role, handler: peers.Handler) -> None:
         """Open the clients of the platform and the engines, and find peers.
 
         Args:
@@ -73,7 +75,7 @@
         """
         options = self.options
         client = http.session(options.platform_token)
-        self._platform = client
+        self._platform_client = client
         self.engines = upstream.session(
             options.connect_timeout, options.idle_timeout
         )
@@ -85,7 +87,7 @@
         )
         self.peers = peers.Peers(options, role, self.config, self.vms, handler)
 
-    def join(self) -> None:
+    def start_peer_tasks(self) -> None:
         """Start to talk to peers and to follow the configuration."""
         self.config.ask_with(self.peers.send)
         self.peers.run(self.tasks)
@@ -112,7 +114,7 @@
             self._runner,
             self.options.address,
             port,
-            shutdown_timeout=_NO_TIMER,
+            shutdown_timeout=_NO_SHUTDOWN_TIMEOUT_S,
             reuse_address=True,
         )
         await site.start()
@@ -122,14 +124,14 @@
         await self.tasks.stop()
         if self._runner is not None:
             await self._runner.cleanup()
-        if self._platform is not None:
-            await self._platform.close()
+        if self._platform_client is not None:
+            await self._platform_client.close()
             await self.engines.close()
             self.peers.close()
 
 
 def health_routes(
-    why_not_ready: typing.Callable[[], str],
+    not_ready_reason: typing.Callable[[], str],
 ) -> list[web.RouteDef]:
     """Return the routes of the health checks.
 
@@ -141,9 +143,9 @@
         return web.json_response({'alive': True})
 
     async def ready(request: web.Request) -> web.Response:
-        why = why_not_ready()
-        body = {'ready': not why, 'why': why}
-        return web.json_response(body, status=503 if why else 200)
+        reason = not_ready_reason()
+        body = {'ready': not reason, 'why': reason}
+        return web.json_response(body, status=503 if reason else 200)
 
     return [web.get('/healthz', alive), web.get('/readyz', ready)]
 
@@ -151,23 +153,23 @@
 def run(daemon: Daemon, program: str) -> int:
     """Run a daemon until it is told to stop; return the exit code."""
     options = daemon.options
-    logs.set_up(options.log_level, options.log_json)
-    telemetry.set_up(options.otlp_endpoint, program)
+    logs.configure(options.log_level, options.log_json)
+    telemetry.configure(options.otlp_endpoint, program)
     log = logs.Log(program)
-    started = clock.now()
+    started_at = clock.now()
     try:
         with aiomisc.entrypoint(
             daemon,
             log_config=False,
             loop_factory=uvloop.new_event_loop,
-            shutdown_timeout=_NO_TIMER,
+            shutdown_timeout=_NO_SHUTDOWN_TIMEOUT_S,
         ) as loop:
             log.info('Started.', address=options.address)
             loop.run_forever()
     except OSError as error:
         log.error('Could not start.', error=str(error))
         return 1
-    log.info('Stopped.', seconds=clock.now() - started)
+    log.info('Stopped.', seconds=clock.now() - started_at)
     return 0
 
 
@@ -178,9 +180,9 @@
         loop.add_signal_handler(number, log.info, 'Already leaving.')
 
 
-def check_options(options: options_module.Options) -> bool:
+def report_option_problems(options: options_module.Options) -> bool:
     """Print every wrong setting; return whether there was none."""
-    found = options_module.problems(options)
-    for failure in found:
+    failures = options_module.find_problems(options)
+    for failure in failures:
         print(f'{failure.reason.name}: {failure.detail}', file=sys.stderr)
-    return not found
+    return not failures
--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -79,7 +79,7 @@
 def run(settings: options_module.Options | None, work: Work) -> int:
     """Run a command with clients of the platform."""
     options = settings or options_module.Options()
-    for failure in options_module.problems(options):
+    for failure in options_module.find_problems(options):
         return report(failure)
 
     async def within() -> int:
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -55,7 +55,7 @@
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.CONTROLLER, _ignore)
+        self.open_clients(states.Role.CONTROLLER, _ignore)
         self._lease = lease_module.Lease(
             self.peers.member,
             self.peers.incarnation,
@@ -67,7 +67,7 @@
         self._seen = ids.Revision(0)
         self._slots = asyncio.Semaphore(_AT_ONCE)
         self.peers.report(self._note_ready)
-        self.join()
+        self.start_peer_tasks()
         pause = options.lease / _RENEWALS
         self.tasks.run_forever(
             'lease', lambda: tasks.run_periodically(lambda: pause, self._renew)
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -56,7 +56,7 @@
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.ENTRY, self._received)
+        self.open_clients(states.Role.ENTRY, self._received)
         self._once = http.session(
             options.connect_timeout, options.idle_timeout, reuse=False
         )
@@ -79,7 +79,7 @@
         self.config.listen(self._reconfigured)
         self.peers.listen(self._listed)
         self.peers.report(self._beat)
-        self.join()
+        self.start_peer_tasks()
         await self._serve()
         _log.info('Listening.', member=self.peers.member)
 
--- a/galenahatch/explaining.py
+++ b/galenahatch/explaining.py
@@ -22,14 +22,14 @@
 def explain(request_id: str, files: list[pathlib.Path], json: bool) -> int:
     """Show what logs tell of a request."""
     try:
-        lines = trace.read(files)
+        lines = trace.read_logs(files)
     except OSError as error:
         failure = errors.Failure(errors.BAD_SETTING, f'--logs: {error}')
         return console.report(failure)
-    found = trace.of_request(lines, request_id)
-    if not found:
+    matching = trace.request_lines(lines, request_id)
+    if not matching:
         detail = f'request {request_id}'
         return console.report(errors.Failure(errors.NOT_FOUND, detail))
-    rows = [(line.at, line.part, line.message, line.text) for line in found]
+    rows = [(line.at, line.part, line.message, line.text) for line in matching]
     console.print_rows(('time', 'part', 'message', 'fields'), rows, json)
     return console.DONE
--- a/galenahatch/gateway/program.py
+++ b/galenahatch/gateway/program.py
@@ -42,7 +42,7 @@
     if isinstance(settings, errors.Failure):
         print(f'{settings.reason.name}: {settings.detail}', file=sys.stderr)
         return _EXIT_USAGE_ERROR
-    logs.set_up_bounded('info')
+    logs.configure_bounded('info')
     instruments.set_global_provider()
     log = logs.Log('gateway')
     gateway = node.Gateway(settings, path)
--- a/galenahatch/logs.py
+++ b/galenahatch/logs.py
@@ -59,7 +59,7 @@
         self._logger.error(sentence, extra=fields)
 
 
-def text_value(value: Value) -> str:
+def format_value(value: Value) -> str:
     """Return a field's value as it stands in a text line."""
     if isinstance(value, float):
         return f'{value:.4g}'
@@ -69,33 +69,33 @@
     return text
 
 
-def text_line(record: logbook.LogRecord, handler: object) -> str:
+def format_text(record: logbook.LogRecord, handler: object) -> str:
     """Format a record as text."""
     fields = ''.join(
-        f' {key}={text_value(value)}' for key, value in record.extra.items()
+        f' {key}={format_value(value)}' for key, value in record.extra.items()
     )
     stamp = record.time.strftime('%H:%M:%S.%f')[:-3]
     level = record.level_name.lower()
     return f'{stamp} {level} {record.channel}: {record.message}{fields}'
 
 
-def json_line(record: logbook.LogRecord, handler: object) -> str:
+def format_json(record: logbook.LogRecord, handler: object) -> str:
     """Format a record as one JSON object."""
-    line: dict[str, typing.Any] = {
+    entry: dict[str, typing.Any] = {
         'time': record.time.isoformat(),
         'level': record.level_name.lower(),
         'part': record.channel,
         'message': record.message,
     }
-    line.update(record.extra)
-    return msgspec.json.encode(line).decode()
+    entry.update(record.extra)
+    return msgspec.json.encode(entry).decode()
 
 
-MOST_LINES: typing.Final = 200
+MAX_LINES_PER_SECOND: typing.Final = 200
 """Lines of one kind in a second. A gateway at the size designed for answers
 some ten requests a second with three lines each; what is over that is a
 storm, whose first lines tell as much."""
-_LONGEST_LINE: typing.Final = 4000
+_MAX_LINE_BYTES: typing.Final = 4000
 """Bytes of a line; pipes take up to 4096 at once or none."""
 
 
@@ -113,53 +113,53 @@
     def __init__(self, descriptor: int, level: str) -> None:
         super().__init__(level=level)
         os.set_blocking(descriptor, False)
-        self.formatter = json_line
+        self.formatter = format_json
         self._descriptor = descriptor
         self._second = 0
-        self._lines: collections.Counter[str] = collections.Counter()
-        self.left_out: collections.Counter[str] = collections.Counter()
+        self._line_counts: collections.Counter[str] = collections.Counter()
+        self.dropped: collections.Counter[str] = collections.Counter()
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write a record, or count that it was left out."""
-        self._turn_second()
+        self._reset_each_second()
         kind = f'{record.channel}: {record.message}'
-        self._lines[kind] += 1
-        if self._lines[kind] > MOST_LINES:
-            self.left_out[kind] += 1
+        self._line_counts[kind] += 1
+        if self._line_counts[kind] > MAX_LINES_PER_SECOND:
+            self.dropped[kind] += 1
         elif not self._write(self.format(record)):
-            self.left_out[kind] += 1
+            self.dropped[kind] += 1
 
-    def _turn_second(self) -> None:
+    def _reset_each_second(self) -> None:
         second = int(time.monotonic())
         if second == self._second:
             return
         self._second = second
-        self._lines.clear()
-        if not self.left_out:
+        self._line_counts.clear()
+        if not self.dropped:
             return
-        told = {
+        summary = {
             'level': 'warning',
             'part': 'logs',
             'message': 'Lines left out.',
-            'counts': dict(self.left_out),
+            'counts': dict(self.dropped),
         }
-        if self._write(msgspec.json.encode(told).decode()):
-            self.left_out.clear()
+        if self._write(msgspec.json.encode(summary).decode()):
+            self.dropped.clear()
 
     def _write(self, line: str) -> bool:
-        data = line.encode()[:_LONGEST_LINE] + b'\n'
+        data = line.encode()[:_MAX_LINE_BYTES] + b'\n'
         try:
             return os.write(self._descriptor, data) == len(data)
         except OSError:
             return False
 
 
-def set_up_bounded(level: str) -> None:
+def configure_bounded(level: str) -> None:
     """Send every log line to standard output, bounded, as JSON."""
     BoundedHandler(sys.stdout.fileno(), level.upper()).push_application()
 
 
-def set_up(level: str, as_json: bool) -> None:
+def configure(level: str, as_json: bool) -> None:
     """Send every log line to standard error from now on.
 
     Args:
@@ -167,5 +167,5 @@
         as_json: write JSON lines.
     """
     handler = logbook.StreamHandler(sys.stderr, level=level.upper())
-    handler.formatter = json_line if as_json else text_line
+    handler.formatter = format_json if as_json else format_text
     handler.push_application()
--- a/galenahatch/main.py
+++ b/galenahatch/main.py
@@ -27,14 +27,14 @@
 from galenahatch import options as options_module
 from galenahatch import scheduler as scheduler_module
 
-Make = typing.Callable[[options_module.Options], application.Daemon]
+DaemonFactory = typing.Callable[[options_module.Options], application.Daemon]
 
 
-def _program(name: str, text: str, make: Make) -> int:
+def _run_daemon(name: str, help_text: str, factory: DaemonFactory) -> int:
     """Read settings, check them and run a daemon."""
     app = cyclopts.App(
         name=name,
-        help=text,
+        help=help_text,
         config=cyclopts.config.Env(options_module.ENV_PREFIX, command=False),
     )
 
@@ -48,13 +48,13 @@
     ) -> int:
         options = settings or options_module.Options()
         if print_settings:
-            shown = options_module.printable(options)
-            data = msgspec.json.encode(shown)
+            masked = options_module.masked_settings(options)
+            data = msgspec.json.encode(masked)
             print(msgspec.json.format(data).decode())
             return 0
-        if not application.check_options(options):
+        if not application.report_option_problems(options):
             return console.BAD_USE
-        return application.run(make(options), name)
+        return application.run(factory(options), name)
 
     return _exit_code(app)
 
@@ -66,22 +66,22 @@
 
 def entry() -> None:
     """Run galenahatch-entry."""
-    text = 'Take requests from callers and run them.'
-    sys.exit(_program('galenahatch-entry', text, entry_module.Entry))
+    help_text = 'Take requests from callers and run them.'
+    sys.exit(_run_daemon('galenahatch-entry', help_text, entry_module.Entry))
 
 
 def scheduler() -> None:
     """Run galenahatch-scheduler."""
-    text = 'Decide where requests run; write claims; watch entries.'
+    help_text = 'Decide where requests run; write claims; watch entries.'
     name = 'galenahatch-scheduler'
-    sys.exit(_program(name, text, scheduler_module.Scheduler))
+    sys.exit(_run_daemon(name, help_text, scheduler_module.Scheduler))
 
 
 def controller() -> None:
     """Run galenahatch-controller."""
-    text = 'Bring engines to the models, versions and roles declared.'
+    help_text = 'Bring engines to the models, versions and roles declared.'
     name = 'galenahatch-controller'
-    sys.exit(_program(name, text, controller_module.Controller))
+    sys.exit(_run_daemon(name, help_text, controller_module.Controller))
 
 
 def ctl() -> None:
--- a/galenahatch/options.py
+++ b/galenahatch/options.py
@@ -27,8 +27,8 @@
 from galenahatch import ids
 
 ENV_PREFIX: typing.Final = 'GALENAHATCH_'
-_SECRET_MARKS: typing.Final = ('token', 'secret', 'password')
-_LEVELS: typing.Final = ('debug', 'info', 'warning', 'error')
+_SECRET_NAME_PARTS: typing.Final = ('token', 'secret', 'password')
+_LOG_LEVELS: typing.Final = ('debug', 'info', 'warning', 'error')
 
 
 @dataclasses.dataclass(frozen=True)
@@ -98,15 +98,15 @@
     log_json: bool = False
 
 
-def problems(options: Options) -> list[errors.Failure]:
+def find_problems(options: Options) -> list[errors.Failure]:
     """Return every wrong setting."""
-    found: list[errors.Failure] = []
+    failures: list[errors.Failure] = []
 
     def wrong(name: str, expected: str) -> None:
         flag = '--' + name.replace('_', '-')
-        value = printable(options)[name]
+        value = masked_settings(options)[name]
         detail = f'{flag} is {value!r}, expected {expected}'
-        found.append(errors.Failure(errors.BAD_SETTING, detail))
+        failures.append(errors.Failure(errors.BAD_SETTING, detail))
 
     _check_addresses(options, wrong)
     for field in dataclasses.fields(options):
@@ -118,24 +118,24 @@
         elif isinstance(value, int | float) and value <= 0:
             if field.name != 'look_away' or value < 0:
                 wrong(field.name, 'more than 0')
-    if options.log_level not in _LEVELS:
-        wrong('log_level', 'one of ' + ', '.join(_LEVELS))
-    return found
+    if options.log_level not in _LOG_LEVELS:
+        wrong('log_level', 'one of ' + ', '.join(_LOG_LEVELS))
+    return failures
 
 
 def _check_addresses(
-    options: Options, wrong: typing.Callable[[str, str], None]
+    options: Options, report: typing.Callable[[str, str], None]
 ) -> None:
     for name in ('table_url', 'objects_url', 'vms_url', 'otlp_endpoint'):
         value = getattr(options, name)
         if not value and name == 'otlp_endpoint':
             continue
         if not _is_url(value):
-            wrong(name, 'an http or https URL')
+            report(name, 'an http or https URL')
     if not _is_ip(options.address):
-        wrong('address', 'an IP number')
+        report('address', 'an IP number')
     if not all(_is_ip(peer) for peer in options.peers):
-        wrong('peers', 'IP numbers')
+        report('peers', 'IP numbers')
 
 
 def _is_ip(text: str) -> bool:
@@ -154,10 +154,10 @@
     return url.scheme in ('http', 'https') and bool(url.hostname)
 
 
-def printable(options: Options) -> dict[str, typing.Any]:
+def masked_settings(options: Options) -> dict[str, typing.Any]:
     """Return the settings with every secret masked."""
-    shown = dataclasses.asdict(options)
-    for name, value in shown.items():
-        if value and any(mark in name for mark in _SECRET_MARKS):
-            shown[name] = '********'
-    return shown
+    settings = dataclasses.asdict(options)
+    for name, value in settings.items():
+        if value and any(mark in name for mark in _SECRET_NAME_PARTS):
+            settings[name] = '********'
+    return settings
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -57,7 +57,7 @@
         self,
         settings: distribution.Distribution,
         data_centre: ids.DataCentre,
-        kept: trail.Trail,
+        kept: trail.DecisionTrail,
         placed: collections.abc.Callable[[ids.MemberId, messages.Held], None],
     ) -> None:
         self._config = settings
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -57,14 +57,14 @@
         super().__init__(options)
         self._senders: dict[ids.MemberId, bus.Peer] = {}
         self._leaving = leaving_module.LeavingUpstreams()
-        self._trail = trail.Trail()
+        self._trail = trail.DecisionTrail()
         self._plans: dict[ids.CellId, cells.CellConfig] = {}
         self._planned = ids.Revision(0)
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.SCHEDULER, self._from_scheduler)
+        self.open_clients(states.Role.SCHEDULER, self._from_scheduler)
         self._placement = placement_module.Placement(
             self.config, options.data_centre, self._trail, self._placed
         )
@@ -108,7 +108,7 @@
         self.config.listen(self._replan)
         self.peers.listen(self._listed)
         self.peers.report(self._refresh)
-        self.join()
+        self.start_peer_tasks()
         keep = self.tasks.run_forever
         keep('placement', self._placement.run)
         keep('claims', self._claims.run)
@@ -202,7 +202,7 @@
         elif isinstance(message, messages.StatusRequest):
             send(self._status())
         elif isinstance(message, messages.ExplainRequest):
-            lines = self._trail.of(message.request)
+            lines = self._trail.lines_of(message.request)
             send(messages.ExplainReply(message.request, lines))
 
     def _from_member(
--- a/galenahatch/telemetry.py
+++ b/galenahatch/telemetry.py
@@ -24,10 +24,10 @@
 from opentelemetry.sdk.metrics import export
 from opentelemetry.sdk import resources
 
-_EXPORT_MS: typing.Final = 10_000
+_EXPORT_INTERVAL_MS: typing.Final = 10_000
 
 
-def set_up(endpoint: str, program: str) -> None:
+def configure(endpoint: str, program: str) -> None:
     """Export metrics over OTLP/HTTP when an endpoint is set.
 
     Args:
@@ -38,7 +38,7 @@
         return
     reader = export.PeriodicExportingMetricReader(
         metric_exporter.OTLPMetricExporter(endpoint=endpoint),
-        export_interval_millis=_EXPORT_MS,
+        export_interval_millis=_EXPORT_INTERVAL_MS,
     )
     resource = resources.Resource.create({'service.name': program})
     provider = sdk.MeterProvider(metric_readers=[reader], resource=resource)
--- a/galenahatch/test/test_config.py
+++ b/galenahatch/test/test_config.py
@@ -77,7 +77,7 @@
         peers=('x',),
         platform_token='secret-token',
     )
-    details = [failure.detail for failure in options.problems(wrong)]
+    details = [failure.detail for failure in options.find_problems(wrong)]
     assert len(details) == 6
     for flag in (
         '--address',
@@ -88,6 +88,6 @@
         '--peers',
     ):
         assert any(detail.startswith(flag) for detail in details)
-    shown = str(options.printable(wrong))
+    shown = str(options.masked_settings(wrong))
     assert 'secret-token' not in shown
-    assert options.problems(options.Options()) == []
+    assert options.find_problems(options.Options()) == []
--- a/galenahatch/test/test_explaining.py
+++ b/galenahatch/test/test_explaining.py
@@ -52,7 +52,7 @@
             log.info(f'Kind {number % 50}.', text='x' * 100)
             slowest = max(slowest, time.monotonic() - began)
         assert slowest < 0.1
-        assert sum(handler.left_out.values()) > 3000
+        assert sum(handler.dropped.values()) > 3000
         before = _read_all(reading)
         time.sleep(1.1)
         log.info('After.')
@@ -72,11 +72,11 @@
     handler = logs.BoundedHandler(writing, 'INFO')
     with handler.applicationbound():
         logger = logs.Log('part')
-        for _ in range(logs.MOST_LINES + 50):
+        for _ in range(logs.MAX_LINES_PER_SECOND + 50):
             logger.info('Storm.')
         logger.info('Other.')
     messages = [line['message'] for line in _read_all(reading)]
-    assert messages.count('Storm.') <= 2 * logs.MOST_LINES
+    assert messages.count('Storm.') <= 2 * logs.MAX_LINES_PER_SECOND
     assert messages[-1] == 'Other.'
     os.close(reading)
     os.close(writing)
@@ -91,7 +91,7 @@
     with handler.applicationbound():
         logbook.Logger('x').info('gone')
     signal.signal(signal.SIGPIPE, before)
-    assert sum(handler.left_out.values()) == 1
+    assert sum(handler.dropped.values()) == 1
     os.close(writing)
 
 
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -97,7 +97,7 @@
     assert sites is not None
     settings = _settings(accepted)
     owner = placement.Placement(
-        settings, _CENTRE, trail.Trail(), lambda entry, held: None
+        settings, _CENTRE, trail.DecisionTrail(), lambda entry, held: None
     )
     answers: list[messages.AnyMessage] = []
     running = asyncio.create_task(owner.run())
@@ -130,7 +130,10 @@
     sites = config.load(accepted.bundle)
     assert sites is not None
     owner = placement.Placement(
-        _settings(accepted), _CENTRE, trail.Trail(), lambda entry, held: None
+        _settings(accepted),
+        _CENTRE,
+        trail.DecisionTrail(),
+        lambda entry, held: None,
     )
     plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
     owner.tell(
--- a/galenahatch/test/test_trace.py
+++ b/galenahatch/test/test_trace.py
@@ -39,7 +39,7 @@
     """Own lines, and news of the upstreams that it was sent to."""
     file = tmp_path / 'log'
     file.write_text(_LOG)
-    lines = trace.of_request(trace.read([file]), 'ab')
+    lines = trace.request_lines(trace.read_logs([file]), 'ab')
     assert [line.message for line in lines] == [
         'Upstream gone.',
         'Placed.',
--- a/galenahatch/trace.py
+++ b/galenahatch/trace.py
@@ -24,10 +24,10 @@
 
 import msgspec
 
-_BEFORE: typing.Final = 10.0
+_EVENT_WINDOW_S: typing.Final = 10.0
 """Seconds before a request's first line in which news of its upstreams are
 shown; longer than any bound on such news."""
-_OWN: typing.Final = ('time', 'level', 'part', 'message')
+_STANDARD_KEYS: typing.Final = ('time', 'level', 'part', 'message')
 
 
 class Line(msgspec.Struct, frozen=True):
@@ -57,19 +57,19 @@
         )
 
 
-def read(files: collections.abc.Iterable[pathlib.Path]) -> list[Line]:
+def read_logs(files: collections.abc.Iterable[pathlib.Path]) -> list[Line]:
     """Return the lines of some logs in the order of their times.
 
     What stands before the first brace of a line, as collectors write it, is
     left out; so is a line that is no JSON object.
     """
-    found = []
+    lines = []
     for file in files:
         for raw in file.read_bytes().splitlines():
             line = _parse(raw)
             if line is not None:
-                found.append(line)
-    return sorted(found, key=lambda line: line.at)
+                lines.append(line)
+    return sorted(lines, key=lambda line: line.at)
 
 
 def _parse(raw: bytes) -> Line | None:
@@ -82,7 +82,7 @@
         return None
     if not isinstance(data, dict) or 'message' not in data:
         return None
-    fields = {key: v for key, v in data.items() if key not in _OWN}
+    fields = {key: v for key, v in data.items() if key not in _STANDARD_KEYS}
     return Line(
         str(data.get('time', '')),
         str(data.get('part', '')),
@@ -91,43 +91,43 @@
     )
 
 
-def of_request(
+def request_lines(
     lines: collections.abc.Sequence[Line], request: str
 ) -> list[Line]:
     """Return the lines of a request, and the news of its upstreams."""
-    own = [line for line in lines if _names(line, request)]
-    if not own:
+    request_own = [line for line in lines if _is_of_request(line, request)]
+    if not request_own:
         return []
     involved = {
         line.fields[key]
-        for line in own
+        for line in request_own
         for key in ('upstream', 'engine', 'prefill', 'decode')
         if line.fields.get(key)
     }
-    first, last = own[0].at, own[-1].at
-    news = [
+    first, last = request_own[0].at, request_own[-1].at
+    upstream_events = [
         line
         for line in lines
-        if line not in own
+        if line not in request_own
         and 'request' not in line.fields
         and 'stream' not in line.fields
-        and _earlier(first) <= line.at <= last
+        and _event_window_start(first) <= line.at <= last
         and {line.fields.get('upstream'), line.fields.get('engine')} & involved
     ]
-    return sorted([*own, *news], key=lambda line: line.at)
+    return sorted([*request_own, *upstream_events], key=lambda line: line.at)
 
 
-def _names(line: Line, request: str) -> bool:
+def _is_of_request(line: Line, request: str) -> bool:
     if line.fields.get('request') == request:
         return True
     return str(line.fields.get('stream', '')).startswith(f'{request}.')
 
 
-def _earlier(at: str) -> str:
+def _event_window_start(time: str) -> str:
     """Return a time that is some seconds before another."""
 
     try:
-        moment = datetime.datetime.fromisoformat(at)
+        parsed = datetime.datetime.fromisoformat(time)
     except ValueError:
-        return at
-    return (moment - datetime.timedelta(seconds=_BEFORE)).isoformat()
+        return time
+    return (parsed - datetime.timedelta(seconds=_EVENT_WINDOW_S)).isoformat()
--- a/galenahatch/trail.py
+++ b/galenahatch/trail.py
@@ -17,11 +17,11 @@
 
 from galenahatch import ids
 
-_MOST_REQUESTS: typing.Final = 5000
-_MOST_LINES: typing.Final = 50
+_MAX_REQUESTS: typing.Final = 5000
+_MAX_LINES_PER_REQUEST: typing.Final = 50
 
 
-class Trail:
+class DecisionTrail:
     """The last decision lines of the last requests."""
 
     def __init__(self) -> None:
@@ -32,11 +32,11 @@
     def add(self, request: ids.RequestId, line: str) -> None:
         """Keep a line."""
         lines = self._lines.setdefault(request, [])
-        if len(lines) < _MOST_LINES:
+        if len(lines) < _MAX_LINES_PER_REQUEST:
             lines.append(line)
-        while len(self._lines) > _MOST_REQUESTS:
+        while len(self._lines) > _MAX_REQUESTS:
             self._lines.popitem(last=False)
 
-    def of(self, request: ids.RequestId) -> tuple[str, ...]:
+    def lines_of(self, request: ids.RequestId) -> tuple[str, ...]:
         """Return the lines of a request, oldest first."""
         return tuple(self._lines.get(request, ()))
