--- a/galenahatch/changes.py
+++ b/galenahatch/changes.py
@@ -32,11 +32,11 @@
 from galenahatch.platform import table
 from galenahatch import schema
 
-_READ_BACKS: typing.Final = 5
-_READ_BACK_PAUSE: typing.Final = 0.3
+_READ_BACK_ATTEMPTS: typing.Final = 5
+_READ_BACK_INTERVAL_S: typing.Final = 0.3
 
 
-class Changes:
+class ChangeHistory:
     """The history of the configuration.
 
     Args:
@@ -44,11 +44,13 @@
         stored: the object store.
     """
 
-    def __init__(self, tables: table.Table, stored: objects.Objects) -> None:
-        self._table = tables
-        self._objects = stored
+    def __init__(
+        self, table_client: table.Table, object_store: objects.Objects
+    ) -> None:
+        self._table = table_client
+        self._objects = object_store
 
-    async def head(self) -> revision.Head | None | errors.Failure:
+    async def read_head(self) -> revision.Head | None | errors.Failure:
         """Return the newest head; None before the first change."""
         values = await self._table.read([revision.HEAD_KEY])
         if isinstance(values, errors.Failure):
@@ -56,7 +58,7 @@
         data = values.get(revision.HEAD_KEY)
         return None if data is None else revision.decode_head(data)
 
-    async def bundle(
+    async def read_bundle(
         self, head: revision.Head
     ) -> schema.Bundle | errors.Failure:
         """Return the body of a change."""
@@ -65,7 +67,7 @@
             return body
         return revision.decode_bundle(body, head.digest)
 
-    async def history(self) -> list[revision.Head] | errors.Failure:
+    async def read_history(self) -> list[revision.Head] | errors.Failure:
         """Return every head, newest first."""
         values = await self._table.scan('config/history/')
         if isinstance(values, errors.Failure):
@@ -81,7 +83,7 @@
     async def apply(
         self,
         bundle: schema.Bundle,
-        read: revision.Head | None,
+        base_head: revision.Head | None,
         author: str,
         note: str,
     ) -> revision.Head | errors.Failure:
@@ -102,7 +104,7 @@
         failure = await self._objects.put(revision.body_key(digest), body)
         if failure is not None:
             return failure
-        number = (read.revision if read else 0) + 1
+        number = (base_head.revision if base_head else 0) + 1
         head = revision.Head(
             ids.Revision(number),
             ids.ChangeId(clock.random_token()),
@@ -110,30 +112,30 @@
             author,
             note,
         )
-        done = await self._table.commit(_move(read, head))
-        if isinstance(done, transaction.Committed):
+        outcome = await self._table.commit(_head_transaction(base_head, head))
+        if isinstance(outcome, transaction.Committed):
             return head
-        return await self._recognise(head)
+        return await self._resolve_unconfirmed(head)
 
-    async def _recognise(
+    async def _resolve_unconfirmed(
         self, head: revision.Head
     ) -> revision.Head | errors.Failure:
         """Find out whether a change was accepted after all."""
         key = revision.history_key(head.revision)
-        for _ in range(_READ_BACKS):
+        for _ in range(_READ_BACK_ATTEMPTS):
             values = await self._table.read([key])
             if not isinstance(values, errors.Failure):
                 data = values.get(key)
                 if data is not None:
-                    return _compare(head, data)
-            await asyncio.sleep(_READ_BACK_PAUSE)
+                    return _compare_accepted(head, data)
+            await asyncio.sleep(_READ_BACK_INTERVAL_S)
         return errors.Failure(errors.CHANGE_UNKNOWN, f'change {head.change}')
 
 
-def _move(
-    read: revision.Head | None, head: revision.Head
+def _head_transaction(
+    base_head: revision.Head | None, head: revision.Head
 ) -> transaction.Transaction:
-    before = revision.encode(read) if read else None
+    before = revision.encode(base_head) if base_head else None
     after = revision.encode(head)
     return transaction.Transaction(
         (transaction.Condition(revision.HEAD_KEY, before),),
@@ -144,22 +146,22 @@
     )
 
 
-def _compare(
+def _compare_accepted(
     head: revision.Head, data: bytes
 ) -> revision.Head | errors.Failure:
-    standing = revision.decode_head(data)
-    if isinstance(standing, errors.Failure):
-        return standing
-    if standing.change == head.change:
+    accepted = revision.decode_head(data)
+    if isinstance(accepted, errors.Failure):
+        return accepted
+    if accepted.change == head.change:
         return head
     detail = (
-        f'revision {standing.revision} is by {standing.author}: '
-        f'{standing.note}'
+        f'revision {accepted.revision} is by {accepted.author}: '
+        f'{accepted.note}'
     )
     return errors.Failure(errors.CHANGE_CONFLICT, detail)
 
 
-def with_draining(
+def set_draining(
     bundle: schema.Bundle, upstream: str, drained: bool
 ) -> schema.Bundle:
     """Return a bundle with one upstream drained or not."""
--- a/galenahatch/checks.py
+++ b/galenahatch/checks.py
@@ -41,60 +41,66 @@
 ) -> None:
     """Check values and references of one site's configuration."""
 
-    def wrong(key: str, expected: str) -> None:
+    def report(key: str, expected: str) -> None:
         problems.append(Problem(site, key, expected))
 
     if all(s.name != site for s in config.sites):
-        wrong('sites', f'a site named {site!r}')
-    _check_services(config, wrong)
-    _check_engines(config, wrong)
-    _check_upstreams(config, wrong)
+        report('sites', f'a site named {site!r}')
+    _check_services(config, report)
+    _check_engines(config, report)
+    _check_upstreams(config, report)
     for caller in config.callers:
         key = f'callers.{caller.name}'
         if len(caller.token_sha256) != hashlib.sha256().digest_size * 2:
-            wrong(f'{key}.token_sha256', '64 hexadecimal digits')
+            report(f'{key}.token_sha256', '64 hexadecimal digits')
         if caller.share <= 0:
-            wrong(f'{key}.share', 'more than 0')
-        if caller.urgency not in schema.CLASSES:
-            wrong(f'{key}.urgency', 'one of: ' + ', '.join(schema.CLASSES))
+            report(f'{key}.share', 'more than 0')
+        if caller.urgency not in schema.URGENCY_BY_NAME:
+            report(
+                f'{key}.urgency',
+                'one of: ' + ', '.join(schema.URGENCY_BY_NAME),
+            )
 
 
-Wrong = typing.Callable[[str, str], None]
+ReportProblem = typing.Callable[[str, str], None]
 
 
-def _check_services(config: schema.Config, wrong: Wrong) -> None:
+def _check_services(config: schema.Config, report: ReportProblem) -> None:
     for service in config.services:
         key = f'services.{service.name}'
-        if service.urgency not in schema.CLASSES:
-            wrong(f'{key}.urgency', 'one of: ' + ', '.join(schema.CLASSES))
+        if service.urgency not in schema.URGENCY_BY_NAME:
+            report(
+                f'{key}.urgency',
+                'one of: ' + ', '.join(schema.URGENCY_BY_NAME),
+            )
         for name in ('first_token_ms', 'between_tokens_ms', 'deadline_ms'):
             if getattr(service, name) <= 0:
-                wrong(f'{key}.{name}', 'milliseconds, more than 0')
+                report(f'{key}.{name}', 'milliseconds, more than 0')
         if not 0 <= service.waste_weight <= 1:
-            wrong(f'{key}.waste_weight', 'a number from 0 to 1')
+            report(f'{key}.waste_weight', 'a number from 0 to 1')
         if service.bytes_per_token <= 0:
-            wrong(f'{key}.bytes_per_token', 'more than 0')
+            report(f'{key}.bytes_per_token', 'more than 0')
         for role in ('prefill', 'decode'):
             if not any(
                 e.service == service.name and e.role == role
                 for e in config.engines
             ):
-                wrong(key, f'at least one {role} engine at this site')
+                report(key, f'at least one {role} engine at this site')
 
 
-def _check_engines(config: schema.Config, wrong: Wrong) -> None:
+def _check_engines(config: schema.Config, report: ReportProblem) -> None:
     services = {service.name for service in config.services}
     centres = {c for site in config.sites for c in site.data_centres}
     for engine in config.engines:
         key = f'engines.{engine.name}'
         if engine.service not in services:
-            wrong(f'{key}.service', 'a declared service')
+            report(f'{key}.service', 'a declared service')
         if engine.role not in ('prefill', 'decode'):
-            wrong(f'{key}.role', 'one of: prefill, decode')
+            report(f'{key}.role', 'one of: prefill, decode')
         if engine.data_centre not in centres:
-            wrong(f'{key}.data_centre', 'a data centre of a site')
+            report(f'{key}.data_centre', 'a data centre of a site')
         if not 0 < engine.port < 65536:
-            wrong(f'{key}.port', 'a port from 1 to 65535')
+            report(f'{key}.port', 'a port from 1 to 65535')
         for name in (
             'places',
             'prefill_tokens_per_second',
@@ -102,39 +108,39 @@
             'eviction_ms',
         ):
             if getattr(engine, name) <= 0:
-                wrong(f'{key}.{name}', 'more than 0')
+                report(f'{key}.{name}', 'more than 0')
 
 
-def _check_upstreams(config: schema.Config, wrong: Wrong) -> None:
+def _check_upstreams(config: schema.Config, report: ReportProblem) -> None:
     for service in config.plain_services:
         key = f'plain_services.{service.name}'
         if not service.upstreams:
-            wrong(f'{key}.upstreams', 'at least one URL')
+            report(f'{key}.upstreams', 'at least one URL')
         for call in service.unrepeatable:
             method, _, path = call.partition(' ')
             if not method.isupper() or not path.startswith('/'):
-                wrong(f'{key}.unrepeatable', "'METHOD /path', not " + call)
-    known = {str(engine.name) for engine in config.engines}
+                report(f'{key}.unrepeatable', "'METHOD /path', not " + call)
+    upstreams = {str(engine.name) for engine in config.engines}
     for plain in config.plain_services:
-        known.update(plain.upstreams)
+        upstreams.update(plain.upstreams)
     for name in config.draining:
-        if name not in known:
-            wrong('draining', f'a declared upstream, not {name!r}')
+        if name not in upstreams:
+            report('draining', f'a declared upstream, not {name!r}')
 
 
-def check_all(
+def check_across_sites(
     configs: dict[str, schema.Config], problems: list[Problem]
 ) -> None:
     """Check that each declared site has an overlay, and agrees."""
-    declared = {s.name for c in configs.values() for s in c.sites}
-    for name in declared - configs.keys():
+    declared_sites = {s.name for c in configs.values() for s in c.sites}
+    for name in declared_sites - configs.keys():
         problems.append(Problem(BASE, f'sites.{name}', 'an overlay file'))
-    centres: dict[str, str] = {}
+    site_by_centre: dict[str, str] = {}
     for config in configs.values():
         for site in config.sites:
             for centre in site.data_centres:
-                owner = centres.setdefault(centre, site.name)
-                if owner != site.name:
+                first_site = site_by_centre.setdefault(centre, site.name)
+                if first_site != site.name:
                     expected = f'{centre!r} in one site, not two'
                     key = f'sites.{site.name}.data_centres'
                     problems.append(Problem(BASE, key, expected))
--- a/galenahatch/config.py
+++ b/galenahatch/config.py
@@ -37,14 +37,14 @@
 Tree = dict[str, typing.Any]
 
 
-class Checked(msgspec.Struct, frozen=True):
+class CheckResult(msgspec.Struct, frozen=True):
     """What a check gives: a configuration by site, or problems."""
 
     sites: dict[str, schema.Config]
     problems: tuple[checks.Problem, ...]
 
 
-def check(bundle: schema.Bundle) -> Checked:
+def check(bundle: schema.Bundle) -> CheckResult:
     """Merge and check a bundle for every site."""
     problems: list[checks.Problem] = []
     base = _parse(checks.BASE, bundle.base, problems)
@@ -53,14 +53,14 @@
         for site, text in sorted(bundle.overlays.items())
     }
     if problems:
-        return Checked({}, tuple(problems))
-    _check_names(checks.BASE, base, problems)
+        return CheckResult({}, tuple(problems))
+    _check_unique_names(checks.BASE, base, problems)
     configs: dict[str, schema.Config] = {}
     for site, overlay in overlays.items():
-        _check_names(site, overlay, problems)
+        _check_unique_names(site, overlay, problems)
         merged = merge(base, overlay)
         merged['draining'] = list(bundle.draining)
-        config = _convert_whole(merged)
+        config = _convert_strictly(merged)
         if config is None:
             origin = _origin(site, overlay)
             config = _convert(schema.Config, merged, '', origin, problems)
@@ -70,8 +70,8 @@
         problems.append(
             checks.Problem(checks.BASE, 'sites', 'an overlay for each site')
         )
-    checks.check_all(configs, problems)
-    return Checked(configs, tuple(sorted(set(problems))))
+    checks.check_across_sites(configs, problems)
+    return CheckResult(configs, tuple(sorted(set(problems))))
 
 
 def load(bundle: schema.Bundle) -> dict[str, schema.Config] | None:
@@ -94,7 +94,7 @@
     return None if problems else configs
 
 
-def _convert_whole(merged: Tree) -> schema.Config | None:
+def _convert_strictly(merged: Tree) -> schema.Config | None:
     """Convert at once; None if anything is wrong, which is rare."""
     if any(_unknown_keys(merged)):
         return None
@@ -110,11 +110,11 @@
         if key not in hints:
             yield key
             continue
-        kind = _struct_item(hints[key])
+        kind = _struct_item_type(hints[key])
         if kind is not None and isinstance(value, list):
-            known = set(kind.__struct_fields__)
+            known_fields = set(kind.__struct_fields__)
             for item in value:
-                if not isinstance(item, dict) or item.keys() - known:
+                if not isinstance(item, dict) or item.keys() - known_fields:
                     yield key
 
 
@@ -130,11 +130,11 @@
     """Return the base with an overlay merged in."""
     merged = dict(base)
     for key, value in overlay.items():
-        below = merged.get(key)
-        if isinstance(below, dict) and isinstance(value, dict):
-            merged[key] = merge(below, value)
-        elif _is_named_list(below) and _is_named_list(value):
-            merged[key] = _merge_named(below, value)
+        base_value = merged.get(key)
+        if isinstance(base_value, dict) and isinstance(value, dict):
+            merged[key] = merge(base_value, value)
+        elif _is_named_list(base_value) and _is_named_list(value):
+            merged[key] = _merge_named(base_value, value)
         else:
             merged[key] = value
     return merged
@@ -152,12 +152,12 @@
         if item.get('remove') is True:
             items.pop(item['name'], None)
         else:
-            below = items.get(item['name'], {})
-            items[item['name']] = merge(below, item)
+            base_item = items.get(item['name'], {})
+            items[item['name']] = merge(base_item, item)
     return list(items.values())
 
 
-def _check_names(
+def _check_unique_names(
     file: str, tree: Tree, problems: list[checks.Problem]
 ) -> None:
     """Report names that stand twice in one file."""
@@ -180,23 +180,23 @@
 
 def _origin(site: str, overlay: Tree) -> Origin:
     """Return a function from a key's path to the file that sets it."""
-    paths = set(_paths(overlay, ''))
+    overlay_paths = set(_key_paths(overlay, ''))
 
     def origin(path: str) -> str:
-        return site if path in paths else checks.BASE
+        return site if path in overlay_paths else checks.BASE
 
     return origin
 
 
-def _paths(value: typing.Any, path: str) -> typing.Iterator[str]:
+def _key_paths(value: typing.Any, path: str) -> typing.Iterator[str]:
     if path:
         yield path
     if isinstance(value, dict):
         for key, item in value.items():
-            yield from _paths(item, f'{path}.{key}' if path else key)
+            yield from _key_paths(item, f'{path}.{key}' if path else key)
     elif isinstance(value, list):
         for number, item in enumerate(value):
-            yield from _paths(item, f'{path}.{_item_name(item, number)}')
+            yield from _key_paths(item, f'{path}.{_item_name(item, number)}')
 
 
 def _item_name(item: typing.Any, number: int) -> str:
@@ -224,21 +224,23 @@
     fields = {field.name: field for field in msgspec.structs.fields(kind)}
     values: Tree = {}
     for key, value in tree.items():
-        below = f'{path}.{key}' if path else key
+        field_path = f'{path}.{key}' if path else key
         if key not in fields:
-            known = ', '.join(fields)
-            expected = f'one of: {known}'
-            problems.append(checks.Problem(origin(below), below, expected))
+            known_fields = ', '.join(fields)
+            expected = f'one of: {known_fields}'
+            problems.append(
+                checks.Problem(origin(field_path), field_path, expected)
+            )
             continue
         values[key] = _convert_field(
-            hints[key], value, below, origin, problems
+            hints[key], value, field_path, origin, problems
         )
     for name, field in fields.items():
         if name not in values and field.required:
-            below = f'{path}.{name}' if path else name
+            field_path = f'{path}.{name}' if path else name
             expected = f'a value: {_type_name(hints[name])}'
-            problems.append(checks.Problem(origin(path), below, expected))
-            values[name] = _empty(hints[name])
+            problems.append(checks.Problem(origin(path), field_path, expected))
+            values[name] = _empty_value(hints[name])
     return kind(**values)
 
 
@@ -249,7 +251,7 @@
     origin: Origin,
     problems: list[checks.Problem],
 ) -> typing.Any:
-    item_kind = _struct_item(hint)
+    item_kind = _struct_item_type(hint)
     if item_kind is not None and isinstance(value, list):
         return tuple(
             _convert(
@@ -262,14 +264,14 @@
             for number, item in enumerate(value)
         )
     try:
-        return msgspec.convert(value, _plain(hint))
+        return msgspec.convert(value, _without_newtypes(hint))
     except msgspec.ValidationError:
         expected = f'{_type_name(hint)}, not {value!r}'
         problems.append(checks.Problem(origin(path), path, expected))
-        return _empty(hint)
+        return _empty_value(hint)
 
 
-def _struct_item(hint: typing.Any) -> type[msgspec.Struct] | None:
+def _struct_item_type(hint: typing.Any) -> type[msgspec.Struct] | None:
     """Return the struct type of a tuple of structs."""
     if typing.get_origin(hint) is not tuple:
         return None
@@ -279,28 +281,30 @@
     return None
 
 
-def _plain(hint: typing.Any) -> typing.Any:
+def _without_newtypes(hint: typing.Any) -> typing.Any:
     """Return a hint with NewType replaced by what it stands for."""
     if isinstance(hint, typing.NewType):
         return hint.__supertype__
     if typing.get_origin(hint) is tuple:
         return types.GenericAlias(
-            tuple, (_plain(typing.get_args(hint)[0]), ...)
+            tuple, (_without_newtypes(typing.get_args(hint)[0]), ...)
         )
     return hint
 
 
 def _type_name(hint: typing.Any) -> str:
-    plain = _plain(hint)
-    if typing.get_origin(plain) is tuple:
-        return f'a list of {_type_name(typing.get_args(plain)[0])}'
+    plain_type = _without_newtypes(hint)
+    if typing.get_origin(plain_type) is tuple:
+        return f'a list of {_type_name(typing.get_args(plain_type)[0])}'
     names = {str: 'text', int: 'a whole number', float: 'a number'}
     names[bool] = 'true or false'
-    return names.get(plain, getattr(plain, '__name__', str(plain)))
+    return names.get(
+        plain_type, getattr(plain_type, '__name__', str(plain_type))
+    )
 
 
-def _empty(hint: typing.Any) -> typing.Any:
-    plain = _plain(hint)
-    if typing.get_origin(plain) is tuple:
+def _empty_value(hint: typing.Any) -> typing.Any:
+    plain_type = _without_newtypes(hint)
+    if typing.get_origin(plain_type) is tuple:
         return ()
-    return plain()
+    return plain_type()
--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -28,15 +28,15 @@
 from galenahatch.platform import table
 from galenahatch.platform import vms
 
-DONE: typing.Final = 0
+SUCCESS: typing.Final = 0
 REFUSED: typing.Final = 1
-BAD_USE: typing.Final = 2
+USAGE_ERROR: typing.Final = 2
 CONFLICT: typing.Final = 3
 UNKNOWN: typing.Final = 4
 UNAVAILABLE: typing.Final = 5
-_CODES: typing.Final = {
-    errors.BAD_CONFIGURATION: BAD_USE,
-    errors.BAD_SETTING: BAD_USE,
+_EXIT_CODES: typing.Final = {
+    errors.BAD_CONFIGURATION: USAGE_ERROR,
+    errors.BAD_SETTING: USAGE_ERROR,
     errors.CHANGE_CONFLICT: CONFLICT,
     errors.CHANGE_UNKNOWN: UNKNOWN,
     errors.NOT_IN_FORCE: UNKNOWN,
@@ -54,13 +54,13 @@
         self, options: options_module.Options, client: aiohttp.ClientSession
     ) -> None:
         self.options = options
-        self.changes = changes_module.Changes(
+        self.changes = changes_module.ChangeHistory(
             table.Table(client, options.table_url),
             objects.Objects(client, options.objects_url),
         )
         self.vms = vms.Vms(client, options.vms_url)
 
-    async def schedulers(self) -> list[str]:
+    async def scheduler_addresses(self) -> list[str]:
         """Return the IP numbers of VMs that may run a scheduler."""
         listed = await self.vms.read()
         addresses = set(self.options.peers)
@@ -71,25 +71,25 @@
         return sorted(addresses)
 
 
-Work = collections.abc.Callable[
+Command = collections.abc.Callable[
     [Context], collections.abc.Coroutine[None, None, int]
 ]
 
 
-def run(settings: options_module.Options | None, work: Work) -> int:
+def run(settings: options_module.Options | None, command: Command) -> int:
     """Run a command with clients of the platform."""
     options = settings or options_module.Options()
     for failure in options_module.find_problems(options):
-        return report(failure)
+        return report_failure(failure)
 
-    async def within() -> int:
+    async def run_with_client() -> int:
         async with http.session(options.platform_token) as client:
-            return await work(Context(options, client))
+            return await command(Context(options, client))
 
-    return asyncio.run(within())
+    return asyncio.run(run_with_client())
 
 
-def report(failure: errors.Failure) -> int:
+def report_failure(failure: errors.Failure) -> int:
     """Print a failure and return its exit code."""
     print(
         f'galenahatchctl: {failure.reason.name}: {failure.reason.message} '
@@ -97,21 +97,21 @@
         file=sys.stderr,
     )
     print(f'  {failure.reason.advice}', file=sys.stderr)
-    return _CODES.get(failure.reason, REFUSED)
+    return _EXIT_CODES.get(failure.reason, REFUSED)
 
 
-def print_rows(
-    names: collections.abc.Sequence[str],
+def print_table(
+    headings: collections.abc.Sequence[str],
     rows: collections.abc.Sequence[Row],
     as_json: bool,
 ) -> None:
     if as_json:
-        items = [dict(zip(names, row, strict=True)) for row in rows]
+        items = [dict(zip(headings, row, strict=True)) for row in rows]
         print(msgspec.json.encode(items).decode())
         return
     texts = [[str(cell) for cell in row] for row in rows]
-    columns = [list(names), *texts]
-    widths = [max(len(row[i]) for row in columns) for i in range(len(names))]
-    for row in columns:
+    lines = [list(headings), *texts]
+    widths = [max(len(row[i]) for row in lines) for i in range(len(headings))]
+    for row in lines:
         cells = (cell.ljust(w) for cell, w in zip(row, widths, strict=True))
         print('  '.join(cells).rstrip())
--- a/galenahatch/core/cells.py
+++ b/galenahatch/core/cells.py
@@ -128,7 +128,7 @@
     by_name: dict[ids.EngineName, schema.Engine] = {}
     for settings in sites.values():
         for engine in settings.engines:
-            site = settings.site_of(engine.data_centre)
+            site = settings.site_of_data_centre(engine.data_centre)
             if site is not None and site.region == region:
                 by_name.setdefault(engine.name, engine)
     by_service: dict[ids.ServiceName, list[schema.Engine]] = {}
--- a/galenahatch/ctl.py
+++ b/galenahatch/ctl.py
@@ -103,7 +103,7 @@
     if not as_json:
         sys.stdout = sys.stderr
     try:
-        console.print_rows(('file', 'key', 'expected'), rows, as_json)
+        console.print_table(('file', 'key', 'expected'), rows, as_json)
     finally:
         sys.stdout = with_stream
     return errors.Failure(
@@ -116,12 +116,12 @@
     """Check a configuration for every site; works offline."""
     bundle = read_bundle(directory)
     if isinstance(bundle, errors.Failure):
-        return console.report(bundle)
+        return console.report_failure(bundle)
     failure = _check(bundle, json)
     if failure is not None:
-        return console.report(failure)
+        return console.report_failure(failure)
     print(f'{len(bundle.overlays)} sites are good.')
-    return console.DONE
+    return console.SUCCESS
 
 
 @app.command
@@ -142,25 +142,27 @@
     """Make a configuration the next revision, by compare-and-set."""
 
     async def work(context: console.Context) -> int:
-        head = await context.changes.head()
+        head = await context.changes.read_head()
         if isinstance(head, errors.Failure):
-            return console.report(head)
+            return console.report_failure(head)
         current = head.revision if head else 0
         if read is not None and read != current:
             by = f'revision {current} is by {head.author}' if head else 'none'
-            return console.report(errors.Failure(errors.CHANGE_CONFLICT, by))
+            return console.report_failure(
+                errors.Failure(errors.CHANGE_CONFLICT, by)
+            )
         draining: tuple[str, ...] = ()
         if head is not None:
-            before = await context.changes.bundle(head)
+            before = await context.changes.read_bundle(head)
             if isinstance(before, errors.Failure):
-                return console.report(before)
+                return console.report_failure(before)
             draining = before.draining
         bundle = read_bundle(directory, draining)
         if isinstance(bundle, errors.Failure):
-            return console.report(bundle)
+            return console.report_failure(bundle)
         failure = _check(bundle, False)
         if failure is not None:
-            return console.report(failure)
+            return console.report_failure(failure)
         return await _accept(context, bundle, head, note, wait)
 
     return console.run(settings, work)
@@ -175,10 +177,10 @@
 ) -> int:
     accepted = await context.changes.apply(bundle, head, _author(), note)
     if isinstance(accepted, errors.Failure):
-        return console.report(accepted)
+        return console.report_failure(accepted)
     print(f'Revision {accepted.revision} is accepted.')
     if not wait:
-        return console.DONE
+        return console.SUCCESS
     return await _wait(context, accepted.revision, wait)
 
 
@@ -187,19 +189,21 @@
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     while True:
-        replies = await queries.ask(
-            await context.schedulers(),
+        replies = await queries.query_schedulers(
+            await context.scheduler_addresses(),
             context.options.scheduler_port,
             messages.StatusRequest(),
         )
-        members = queries.members(replies)
+        members = queries.newest_heartbeats(replies)
         behind = [m.member for m in members if m.revision < number]
         if members and not behind:
             print(f'In force on {len(members)} daemons.')
-            return console.DONE
+            return console.SUCCESS
         if loop.time() > until:
             detail = ', '.join(behind) or 'no daemon answers'
-            return console.report(errors.Failure(errors.NOT_IN_FORCE, detail))
+            return console.report_failure(
+                errors.Failure(errors.NOT_IN_FORCE, detail)
+            )
         await asyncio.sleep(_POLL)
 
 
@@ -219,29 +223,29 @@
     async def work(context: console.Context) -> int:
         bundle = await _newest(context)
         if isinstance(bundle, errors.Failure):
-            return console.report(bundle)
+            return console.report_failure(bundle)
         if not site:
             print(_written(bundle))
-            return console.DONE
+            return console.SUCCESS
         merged = config.check(bundle).sites.get(site)
         if merged is None:
-            return console.report(
+            return console.report_failure(
                 errors.Failure(errors.NOT_FOUND, f'site {site}')
             )
         data = msgspec.json.encode(merged)
         print((data if json else msgspec.json.format(data)).decode())
-        return console.DONE
+        return console.SUCCESS
 
     return console.run(settings, work)
 
 
 async def _newest(context: console.Context) -> schema.Bundle | errors.Failure:
-    head = await context.changes.head()
+    head = await context.changes.read_head()
     if isinstance(head, errors.Failure):
         return head
     if head is None:
         return errors.Failure(errors.NO_CONFIGURATION)
-    return await context.changes.bundle(head)
+    return await context.changes.read_bundle(head)
 
 
 def _written(bundle: schema.Bundle) -> str:
@@ -257,14 +261,14 @@
     """List the accepted changes, newest first."""
 
     async def work(context: console.Context) -> int:
-        heads = await context.changes.history()
+        heads = await context.changes.read_history()
         if isinstance(heads, errors.Failure):
-            return console.report(heads)
+            return console.report_failure(heads)
         rows = [(h.revision, h.author, h.note, h.change) for h in heads]
-        console.print_rows(
+        console.print_table(
             ('revision', 'author', 'note', 'change'), rows, json
         )
-        return console.DONE
+        return console.SUCCESS
 
     return console.run(settings, work)
 
@@ -274,24 +278,26 @@
     """Show what changed between two revisions."""
 
     async def work(context: console.Context) -> int:
-        heads = await context.changes.history()
+        heads = await context.changes.read_history()
         if isinstance(heads, errors.Failure):
-            return console.report(heads)
+            return console.report_failure(heads)
         texts = []
         for number in (old, new):
             head = next((h for h in heads if h.revision == number), None)
             if head is None:
                 detail = f'revision {number}'
-                return console.report(errors.Failure(errors.NOT_FOUND, detail))
-            bundle = await context.changes.bundle(head)
+                return console.report_failure(
+                    errors.Failure(errors.NOT_FOUND, detail)
+                )
+            bundle = await context.changes.read_bundle(head)
             if isinstance(bundle, errors.Failure):
-                return console.report(bundle)
+                return console.report_failure(bundle)
             texts.append(_written(bundle).splitlines())
         lines = difflib.unified_diff(
             texts[0], texts[1], f'revision {old}', f'revision {new}'
         )
         print('\n'.join(line.rstrip('\n') for line in lines))
-        return console.DONE
+        return console.SUCCESS
 
     return console.run(settings, work)
 
@@ -301,13 +307,13 @@
     """Show every daemon and every engine."""
 
     async def work(context: console.Context) -> int:
-        replies = await queries.ask(
-            await context.schedulers(),
+        replies = await queries.query_schedulers(
+            await context.scheduler_addresses(),
             context.options.scheduler_port,
             messages.StatusRequest(),
         )
         if not replies:
-            return console.report(errors.Failure(errors.NO_SCHEDULER))
+            return console.report_failure(errors.Failure(errors.NO_SCHEDULER))
         daemons = _daemon_rows(replies)
         engines = _engine_rows(replies)
         if json:
@@ -320,11 +326,11 @@
                 ],
             }
             print(msgspec.json.encode(body).decode())
-            return console.DONE
-        console.print_rows(_DAEMONS, daemons, False)
+            return console.SUCCESS
+        console.print_table(_DAEMONS, daemons, False)
         print()
-        console.print_rows(_ENGINES, engines, False)
-        return console.DONE
+        console.print_table(_ENGINES, engines, False)
+        return console.SUCCESS
 
     return console.run(settings, work)
 
@@ -332,7 +338,7 @@
 def _daemon_rows(replies: Replies) -> list[console.Row]:
     return [
         (m.member, m.standing.value, m.ready, m.revision, m.load, m.why)
-        for m in queries.members(replies)
+        for m in queries.newest_heartbeats(replies)
     ]
 
 
@@ -346,25 +352,25 @@
             e.places,
             round(e.seconds_per_token * 1000, 1),
         )
-        for e in queries.engines(replies)
+        for e in queries.highest_loads(replies)
     ]
 
 
 async def _set_draining(
     context: console.Context, upstream: str, drained: bool, wait: float
 ) -> int:
-    head = await context.changes.head()
+    head = await context.changes.read_head()
     if isinstance(head, errors.Failure):
-        return console.report(head)
+        return console.report_failure(head)
     if head is None:
-        return console.report(errors.Failure(errors.NO_CONFIGURATION))
-    before = await context.changes.bundle(head)
+        return console.report_failure(errors.Failure(errors.NO_CONFIGURATION))
+    before = await context.changes.read_bundle(head)
     if isinstance(before, errors.Failure):
-        return console.report(before)
-    bundle = changes_module.with_draining(before, upstream, drained)
+        return console.report_failure(before)
+    bundle = changes_module.set_draining(before, upstream, drained)
     failure = _check(bundle, False)
     if failure is not None:
-        return console.report(failure)
+        return console.report_failure(failure)
     verb = 'drain' if drained else 'undrain'
     return await _accept(context, bundle, head, f'{verb} {upstream}', wait)
 
@@ -407,13 +413,13 @@
         return explaining.explain(request_id, logs, json)
 
     async def work(context: console.Context) -> int:
-        replies = await queries.ask(
-            await context.schedulers(),
+        replies = await queries.query_schedulers(
+            await context.scheduler_addresses(),
             context.options.scheduler_port,
             messages.ExplainRequest(queries.request_id(request_id)),
         )
         if not replies:
-            return console.report(errors.Failure(errors.NO_SCHEDULER))
+            return console.report_failure(errors.Failure(errors.NO_SCHEDULER))
         rows = [
             (scheduler, line)
             for scheduler, reply in replies.items()
@@ -422,8 +428,10 @@
         ]
         if not rows:
             detail = f'request {request_id}'
-            return console.report(errors.Failure(errors.NOT_FOUND, detail))
-        console.print_rows(('scheduler', 'decision'), rows, json)
-        return console.DONE
+            return console.report_failure(
+                errors.Failure(errors.NOT_FOUND, detail)
+            )
+        console.print_table(('scheduler', 'decision'), rows, json)
+        return console.SUCCESS
 
     return console.run(settings, work)
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -117,13 +117,13 @@
     """Check a settings file as a gateway would; works offline."""
     found = deployment.load(str(file))
     if isinstance(found, errors.Failure):
-        return console.report(found)
+        return console.report_failure(found)
     rows = [
         (name, str(getattr(found, name)))
         for name in ('name', 'data_centre', 'front', 'readiness', 'store')
     ]
-    console.print_rows(('setting', 'value'), rows, json)
-    return console.DONE
+    console.print_table(('setting', 'value'), rows, json)
+    return console.SUCCESS
 
 
 @app.command
@@ -133,7 +133,7 @@
     async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
         decoded = await _configuration(at)
         if isinstance(decoded, errors.Failure):
-            return console.report(decoded)
+            return console.report_failure(decoded)
         rows = [
             (
                 route.name,
@@ -148,8 +148,8 @@
         ]
         if not json:
             print(f'version {decoded.version}')
-        console.print_rows(_ROUTES, rows, json)
-        return console.DONE
+        console.print_table(_ROUTES, rows, json)
+        return console.SUCCESS
 
     return _run(store, work)
 
@@ -161,14 +161,14 @@
     async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
         found = await at.rows(documents.UPSTREAM_TABLE)
         if isinstance(found, errors.Failure):
-            return console.report(found)
+            return console.report_failure(found)
         config = await _configuration(at)
         services = (
             None if isinstance(config, errors.Failure) else config.services
         )
         rows = [_upstream(row, services) for row in found.rows]
-        console.print_rows(_UPSTREAMS, rows, json)
-        return console.DONE
+        console.print_table(_UPSTREAMS, rows, json)
+        return console.SUCCESS
 
     return _run(store, work)
 
@@ -182,7 +182,7 @@
         held = await at.rows(lease.TABLE)
         for one in (found, held):
             if isinstance(one, errors.Failure):
-                return console.report(one)
+                return console.report_failure(one)
         assert isinstance(found, stores.Rows)
         assert isinstance(held, stores.Rows)
         holder = lease.current_holder(held)
@@ -191,13 +191,13 @@
         for row in sorted(members, key=lambda row: row.ver):
             told = roster.decode_member_row(row)
             where = told.data_centre if told is not None else ''
-            seen = await scrapes.read(client, row.key)
-            version = '' if seen is None else scrapes.version(seen)
+            seen = await scrapes.scrape(client, row.key)
+            version = '' if seen is None else scrapes.config_version(seen)
             up, gives = seen is not None, row.key == holder
             era = '' if seen is None else scrapes.store_era(seen)
             rows.append((row.key, where, row.ver, up, gives, version, era))
-        console.print_rows(_GATEWAYS, rows, json)
-        return console.DONE
+        console.print_table(_GATEWAYS, rows, json)
+        return console.SUCCESS
 
     return _run(store, work)
 
@@ -214,14 +214,14 @@
         found = await at.rows(roster.MEMBER_TABLE)
         for one in (config, found):
             if isinstance(one, errors.Failure):
-                return console.report(one)
+                return console.report_failure(one)
         assert isinstance(config, routes.Configuration)
         assert isinstance(found, stores.Rows)
         seen = await _scraped(client, found)
         known = config.customers.by_name if config.customers else {}
         rows = [_customer(one, seen) for one in known.values()]
-        console.print_rows(_CUSTOMERS, rows, json)
-        return console.DONE
+        console.print_table(_CUSTOMERS, rows, json)
+        return console.SUCCESS
 
     return _run(store, work)
 
@@ -229,7 +229,7 @@
 def _customer(
     one: customers_module.Customer, seen: list[scrapes.Samples]
 ) -> console.Row:
-    counts = [scrapes.of_customer(samples, one.name) for samples in seen]
+    counts = [scrapes.customer_usage(samples, one.name) for samples in seen]
     return (
         one.name,
         ' '.join(sorted(one.keys)),
@@ -253,10 +253,10 @@
     async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
         found = await at.rows(roster.MEMBER_TABLE)
         if isinstance(found, errors.Failure):
-            return console.report(found)
+            return console.report_failure(found)
         seen = await _scraped(client, found)
-        console.print_rows(_LIMITS, _limits(seen), json)
-        return console.DONE
+        console.print_table(_LIMITS, _limits(seen), json)
+        return console.SUCCESS
 
     return _run(store, work)
 
@@ -272,7 +272,7 @@
         upstream
         for one in seen
         for gauge in gauges
-        for upstream in scrapes.of_upstreams(one, gauge)
+        for upstream in scrapes.values_by_upstream(one, gauge)
     }
     rows: list[console.Row] = []
     for upstream in sorted(named):
@@ -302,15 +302,15 @@
     async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
         found = await at.rows(roster.MEMBER_TABLE)
         if isinstance(found, errors.Failure):
-            return console.report(found)
+            return console.report_failure(found)
         rows: list[console.Row] = []
         for row in found.rows:
             entry = None if roster.is_member(row) else quarantines.decode(row)
             if entry is not None:
                 digest = row.key.removeprefix(quarantines.ROW_PREFIX)
                 rows.append((digest, len(entry.ends), _standing(entry)))
-        console.print_rows(_REQUESTS, rows, json)
-        return console.DONE
+        console.print_table(_REQUESTS, rows, json)
+        return console.SUCCESS
 
     return _run(store, work)
 
@@ -330,11 +330,13 @@
         key = quarantines.ROW_PREFIX + digest
         found = await at.rows(roster.MEMBER_TABLE)
         if isinstance(found, errors.Failure):
-            return console.report(found)
+            return console.report_failure(found)
         rows = [row for row in found.rows if row.key == key]
         known = quarantines.decode(rows[0]) if rows else None
         if known is None:
-            return console.report(errors.Failure(errors.NOT_FOUND, digest))
+            return console.report_failure(
+                errors.Failure(errors.NOT_FOUND, digest)
+            )
         value = msgspec.json.encode(
             quarantines.Entry(known.ends, released=True)
         )
@@ -342,17 +344,17 @@
         made = stores.Entry(roster.MEMBER_TABLE, key, value=value)
         written = await at.transact([seen], put=[made])
         if isinstance(written, errors.Failure):
-            return console.report(written)
+            return console.report_failure(written)
         # A restore between both calls has given the number to another row.
         is_restored = (
             isinstance(written, stores.Written) and written.era != found.era
         )
         if isinstance(written, stores.Conflict) or is_restored:
             detail = f'{digest} was written meanwhile'
-            return console.report(
+            return console.report_failure(
                 errors.Failure(errors.CHANGE_CONFLICT, detail)
             )
-        return console.DONE
+        return console.SUCCESS
 
     return _run(store, work)
 
@@ -362,7 +364,7 @@
 ) -> list[scrapes.Samples]:
     """Return the metrics of all gateways that answer."""
     members = filter(roster.is_member, found.rows)
-    reads = [scrapes.read(client, row.key) for row in members]
+    reads = [scrapes.scrape(client, row.key) for row in members]
     return [one for one in await asyncio.gather(*reads) if one is not None]
 
 
@@ -420,7 +422,7 @@
         path = deployment.path() or os.devnull
         found = deployment.load(path)
         if isinstance(found, errors.Failure):
-            return console.report(found)
+            return console.report_failure(found)
         address = str(found.store)
 
     async def within() -> int:
--- a/galenahatch/inbound.py
+++ b/galenahatch/inbound.py
@@ -128,7 +128,7 @@
         return deadline
     urgency = None
     if PRIORITY in headers:
-        urgency = schema.urgency(headers[PRIORITY].lower())
+        urgency = schema.urgency_by_name(headers[PRIORITY].lower())
         if urgency is None:
             return _bad_header(PRIORITY, 'urgent, normal or bulk')
     request = ids.RequestId(f'r{clock.random_token()[:20]}')
@@ -154,7 +154,7 @@
     scheme, _, token = headers.get('Authorization', '').partition(' ')
     if scheme.lower() != 'bearer' or not token:
         return errors.Failure(errors.UNAUTHORIZED, 'no bearer token')
-    caller = settings.caller_of(token.strip())
+    caller = settings.caller_by_token(token.strip())
     if caller is None:
         return errors.Failure(errors.UNAUTHORIZED, 'unknown token')
     return caller
@@ -226,8 +226,8 @@
     headers: Headers, caller: schema.Caller, service: schema.ModelService
 ) -> states.Urgency:
     """Return the class asked for, but none better than the caller's."""
-    usual = schema.urgency(service.urgency) or states.Urgency.URGENT
-    best = schema.urgency(caller.urgency) or states.Urgency.URGENT
+    usual = schema.urgency_by_name(service.urgency) or states.Urgency.URGENT
+    best = schema.urgency_by_name(caller.urgency) or states.Urgency.URGENT
     asked = usual if headers.urgency is None else headers.urgency
     return max(asked, best)
 
--- a/galenahatch/main.py
+++ b/galenahatch/main.py
@@ -53,7 +53,7 @@
             print(msgspec.json.format(data).decode())
             return 0
         if not application.report_option_problems(options):
-            return console.BAD_USE
+            return console.USAGE_ERROR
         return application.run(factory(options), name)
 
     return _exit_code(app)
--- a/galenahatch/options.py
+++ b/galenahatch/options.py
@@ -102,24 +102,24 @@
     """Return every wrong setting."""
     failures: list[errors.Failure] = []
 
-    def wrong(name: str, expected: str) -> None:
+    def report(name: str, expected: str) -> None:
         flag = '--' + name.replace('_', '-')
         value = masked_settings(options)[name]
         detail = f'{flag} is {value!r}, expected {expected}'
         failures.append(errors.Failure(errors.BAD_SETTING, detail))
 
-    _check_addresses(options, wrong)
+    _check_addresses(options, report)
     for field in dataclasses.fields(options):
         value = getattr(options, field.name)
         if isinstance(value, bool):
             continue
         if field.name.endswith('_port') and not 0 < value < 65536:
-            wrong(field.name, 'a port from 1 to 65535')
+            report(field.name, 'a port from 1 to 65535')
         elif isinstance(value, int | float) and value <= 0:
             if field.name != 'look_away' or value < 0:
-                wrong(field.name, 'more than 0')
+                report(field.name, 'more than 0')
     if options.log_level not in _LOG_LEVELS:
-        wrong('log_level', 'one of ' + ', '.join(_LOG_LEVELS))
+        report('log_level', 'one of ' + ', '.join(_LOG_LEVELS))
     return failures
 
 
--- a/galenahatch/queries.py
+++ b/galenahatch/queries.py
@@ -23,77 +23,77 @@
 from galenahatch import ids
 from galenahatch import messages
 
-_SECONDS: typing.Final = 1.5
+_REPLY_TIMEOUT_S: typing.Final = 1.5
 
 
-async def ask(
+async def query_schedulers(
     addresses: collections.abc.Sequence[str],
     port: int,
-    question: messages.AnyMessage,
+    query: messages.AnyMessage,
 ) -> dict[str, messages.AnyMessage]:
     """Return the answer of each scheduler that gave one, by IP number."""
     context = zmq.asyncio.Context()
     try:
-        answers = await asyncio.gather(
-            *(_ask_one(context, a, port, question) for a in addresses)
+        replies = await asyncio.gather(
+            *(_query_scheduler(context, a, port, query) for a in addresses)
         )
     finally:
         context.destroy(linger=0)
     return {
-        address: answer
-        for address, answer in zip(addresses, answers, strict=True)
-        if answer is not None
+        address: reply
+        for address, reply in zip(addresses, replies, strict=True)
+        if reply is not None
     }
 
 
-async def _ask_one(
+async def _query_scheduler(
     context: zmq.asyncio.Context,
     address: str,
     port: int,
-    question: messages.AnyMessage,
+    query: messages.AnyMessage,
 ) -> messages.AnyMessage | None:
     socket = context.socket(zmq.DEALER)
     socket.setsockopt(zmq.LINGER, 0)
     socket.connect(f'tcp://{address}:{port}')
     try:
-        async with asyncio.timeout(_SECONDS):
-            await socket.send(messages.encode(question))
-            answer = messages.decode(await socket.recv())
+        async with asyncio.timeout(_REPLY_TIMEOUT_S):
+            await socket.send(messages.encode(query))
+            reply = messages.decode(await socket.recv())
     except asyncio.TimeoutError:
         return None
     finally:
         socket.close()
-    return None if isinstance(answer, errors.Failure) else answer
+    return None if isinstance(reply, errors.Failure) else reply
 
 
-def members(
+def newest_heartbeats(
     replies: collections.abc.Mapping[str, messages.AnyMessage],
 ) -> list[messages.Heartbeat]:
     """Return each daemon as the scheduler with the newest word has it."""
-    found: dict[ids.MemberId, messages.Heartbeat] = {}
+    newest: dict[ids.MemberId, messages.Heartbeat] = {}
     for reply in replies.values():
         if not isinstance(reply, messages.StatusReply):
             continue
         for heartbeat in reply.members:
-            known = found.get(heartbeat.member)
-            if known is None or heartbeat.revision > known.revision:
-                found[heartbeat.member] = heartbeat
-    return [found[member] for member in sorted(found)]
+            previous = newest.get(heartbeat.member)
+            if previous is None or heartbeat.revision > previous.revision:
+                newest[heartbeat.member] = heartbeat
+    return [newest[member] for member in sorted(newest)]
 
 
-def engines(
+def highest_loads(
     replies: collections.abc.Mapping[str, messages.AnyMessage],
 ) -> list[messages.EngineLoad]:
     """Return each engine as its busiest owner has it."""
-    found: dict[ids.EngineName, messages.EngineLoad] = {}
+    highest: dict[ids.EngineName, messages.EngineLoad] = {}
     for reply in replies.values():
         if not isinstance(reply, messages.StatusReply):
             continue
         for load in reply.engines:
-            known = found.get(load.engine)
-            if known is None or load.reserved > known.reserved:
-                found[load.engine] = load
-    return [found[name] for name in sorted(found)]
+            previous = highest.get(load.engine)
+            if previous is None or load.reserved > previous.reserved:
+                highest[load.engine] = load
+    return [highest[name] for name in sorted(highest)]
 
 
 def request_id(text: str) -> ids.RequestId:
--- a/galenahatch/schema.py
+++ b/galenahatch/schema.py
@@ -25,7 +25,7 @@
 from galenahatch import ids
 from galenahatch import states
 
-CLASSES: typing.Final = {
+URGENCY_BY_NAME: typing.Final = {
     'urgent': states.Urgency.URGENT,
     'normal': states.Urgency.NORMAL,
     'bulk': states.Urgency.BULK,
@@ -185,7 +185,7 @@
     def _caller_by_name(self) -> dict[str, Caller]:
         return {caller.name: caller for caller in self.callers}
 
-    def site_of(self, data_centre: ids.DataCentre) -> Site | None:
+    def site_of_data_centre(self, data_centre: ids.DataCentre) -> Site | None:
         """Return the site that a data centre belongs to."""
         return self._site_by_centre.get(data_centre)
 
@@ -205,7 +205,7 @@
         """Return a caller by name."""
         return self._caller_by_name.get(name)
 
-    def caller_of(self, token: str) -> Caller | None:
+    def caller_by_token(self, token: str) -> Caller | None:
         """Return the caller that a bearer token belongs to."""
         digest = hashlib.sha256(token.encode()).hexdigest()
         return self._caller_by_digest.get(digest)
@@ -225,6 +225,6 @@
     draining: tuple[str, ...] = ()
 
 
-def urgency(name: str) -> states.Urgency | None:
+def urgency_by_name(name: str) -> states.Urgency | None:
     """Return the class of a name."""
-    return CLASSES.get(name)
+    return URGENCY_BY_NAME.get(name)
--- a/galenahatch/scrapes.py
+++ b/galenahatch/scrapes.py
@@ -21,7 +21,7 @@
 from galenahatch.gateway import instruments
 from galenahatch.gateway import node
 
-_ANSWER: typing.Final = 1.0
+_SCRAPE_TIMEOUT_S: typing.Final = 1.0
 """Seconds for a gateway's metrics; they take some ms."""
 _SAMPLE: typing.Final = re.compile(
     r'(?P<name>\w+)(?:\{(?P<labels>[^}]*)\})? (?P<value>\S+)'
@@ -36,21 +36,23 @@
     """Return the samples of a scrape; of other labels all are added up."""
     samples: Samples = {}
     for line in text.splitlines():
-        found = _SAMPLE.fullmatch(line)
-        if found is None:
+        match = _SAMPLE.fullmatch(line)
+        if match is None:
             continue
-        subject = _SUBJECT.search(found['labels'] or '')
-        key = (found['name'], subject.group(1) if subject else '')
-        samples[key] = samples.get(key, 0.0) + float(found['value'])
+        subject = _SUBJECT.search(match['labels'] or '')
+        key = (match['name'], subject.group(1) if subject else '')
+        samples[key] = samples.get(key, 0.0) + float(match['value'])
     return samples
 
 
-async def read(client: aiohttp.ClientSession, address: str) -> Samples | None:
+async def scrape(
+    client: aiohttp.ClientSession, address: str
+) -> Samples | None:
     """Return the samples of a gateway; None if it does not answer."""
     url = f'http://{address}:{node.METRICS_PORT}/metrics'
-    limit = aiohttp.ClientTimeout(total=_ANSWER)
+    timeout = aiohttp.ClientTimeout(total=_SCRAPE_TIMEOUT_S)
     try:
-        async with client.get(url, timeout=limit) as response:
+        async with client.get(url, timeout=timeout) as response:
             if response.status != 200:
                 return None
             return parse(await response.text())
@@ -58,7 +60,7 @@
         return None
 
 
-def version(samples: Samples) -> int:
+def config_version(samples: Samples) -> int:
     """Return the version of the configuration that a gateway has."""
     return int(samples.get((instruments.CONFIG_VERSION, ''), 0))
 
@@ -68,7 +70,7 @@
     return int(samples.get((instruments.STORE_ERA, ''), 0))
 
 
-def of_customer(samples: Samples, name: str) -> tuple[float, float]:
+def customer_usage(samples: Samples, name: str) -> tuple[float, float]:
     """Return the units and the refusals that a gateway has counted."""
     return (
         samples.get((f'{instruments.CUSTOMER_UNITS}_total', name), 0.0),
@@ -76,7 +78,7 @@
     )
 
 
-def of_upstreams(samples: Samples, metric: str) -> dict[str, float]:
+def values_by_upstream(samples: Samples, metric: str) -> dict[str, float]:
     """Return the values of a metric, by upstream."""
     return {
         subject: value
--- a/galenahatch/test/test_gatewayctl.py
+++ b/galenahatch/test/test_gatewayctl.py
@@ -53,10 +53,10 @@
     wrong = tmp_path / 'wrong.json'
     text = fleet.vms[0].settings_file.read_text()
     wrong.write_text(text.replace('[7660,7675]', '[7675,7660]'))
-    assert _run('check', str(wrong)) == console.BAD_USE
+    assert _run('check', str(wrong)) == console.USAGE_ERROR
     told = capsys.readouterr().err
     assert 'port_range is (7675, 7660), expected two ports' in told
-    assert _run('check', str(tmp_path / 'none.json')) == console.BAD_USE
+    assert _run('check', str(tmp_path / 'none.json')) == console.USAGE_ERROR
 
 
 def test_config(
--- a/galenahatch/test/test_trace.py
+++ b/galenahatch/test/test_trace.py
@@ -55,8 +55,8 @@
     """Found, not found, and a file that is not there."""
     file = tmp_path / 'log'
     file.write_text(_LOG)
-    assert explaining.explain('ab', [file], False) == console.DONE
+    assert explaining.explain('ab', [file], False) == console.SUCCESS
     assert 'no_time' in capsys.readouterr().out
     assert explaining.explain('zz', [file], False) == console.REFUSED
     missing = [tmp_path / 'none']
-    assert explaining.explain('ab', missing, False) == console.BAD_USE
+    assert explaining.explain('ab', missing, False) == console.USAGE_ERROR
