--- a/galenahatch/claimclient.py
+++ b/galenahatch/claimclient.py
@@ -108,7 +108,7 @@
         Returns:
             the claim, the stored answer of an earlier run, or the failure.
         """
-        token = ids.ClaimToken(clock.token())
+        token = ids.ClaimToken(clock.random_token())
         self._tokens.add_pending(token)
         request = messages.ClaimRequest(
             key,
@@ -162,7 +162,7 @@
     def finish(self, claimed: Claimed, answer: claim.Answer) -> None:
         """Record an answer and store it in the background."""
         self._tokens.finish(claimed.token, answer)
-        self._tasks.once(self._store_until_confirmed(claimed, answer))
+        self._tasks.run_once(self._store_until_confirmed(claimed, answer))
 
     def handle_message(self, message: messages.AnyMessage) -> None:
         """Handle a message about claims from a scheduler."""
@@ -250,7 +250,7 @@
     def _remove_in_background(self, claimed: Claimed) -> None:
         if claimed.token not in self._pending_removals:
             self._pending_removals[claimed.token] = claimed
-            self._tasks.once(self._remove_until_confirmed(claimed))
+            self._tasks.run_once(self._remove_until_confirmed(claimed))
 
     async def _remove_until_confirmed(self, claimed: Claimed) -> None:
         """Remove a claim, retrying until the table confirms the removal."""
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -55,7 +55,7 @@
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.CONTROLLER, _ignore_message)
+        self.open_clients(states.Role.CONTROLLER, _ignore_message)
         self._lease = lease_module.Lease(
             self.peers.member,
             self.peers.incarnation,
@@ -67,14 +67,14 @@
         self._reconciled_revision = ids.Revision(0)
         self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
         self.peers.on_heartbeat(self._update_readiness)
-        self.join()
+        self.start_peer_tasks()
         pause = options.lease / _RENEWALS_PER_LEASE
-        self.tasks.keep(
-            'lease', lambda: tasks.every(lambda: pause, self._renew)
+        self.tasks.run_forever(
+            'lease', lambda: tasks.run_periodically(lambda: pause, self._renew)
         )
-        self.tasks.keep(
+        self.tasks.run_forever(
             'orders',
-            lambda: tasks.every(
+            lambda: tasks.run_periodically(
                 lambda: _RECONCILE_INTERVAL_S, self._reconcile
             ),
         )
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -122,8 +122,8 @@
     def start(self) -> None:
         """Start the task that polls the table."""
         poll = self._options.config_poll
-        self._tasks.keep(
-            'config', lambda: tasks.every(lambda: poll, self._poll_table)
+        self._tasks.run_forever(
+            'config', lambda: tasks.run_periodically(lambda: poll, self._poll_table)
         )
 
     def record_peer_revision(
@@ -140,7 +140,7 @@
         if isinstance(accepted, errors.Failure):
             _log.warning('Configuration dropped.', detail=accepted.detail)
             return
-        self._tasks.once(self._apply(accepted, 'peer'))
+        self._tasks.run_once(self._apply(accepted, 'peer'))
 
     async def _poll_table(self) -> None:
         values = await self._table.read([revision_module.HEAD_KEY])
--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -212,4 +212,4 @@
                     detail=reply.detail,
                 )
 
-        self._context.tasks.once(delete_handle())
+        self._context.tasks.run_once(delete_handle())
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -58,7 +58,7 @@
         self,
         settings: distribution.Distribution,
         data_centre: ids.DataCentre,
-        trail_of_decisions: trail.Trail,
+        trail_of_decisions: trail.DecisionTrail,
         on_placed: collections.abc.Callable[
             [ids.MemberId, messages.Held], None
         ],
@@ -319,7 +319,7 @@
     def _ensure_cell(self, plan: cells_module.CellConfig) -> cell_module.Cell:
         cell = self._cells.get(plan.cell)
         if cell is None:
-            random_source = random.Random(clock.incarnation())
+            random_source = random.Random(clock.random_incarnation())
             cell = cell_module.Cell(plan.service, random_source)
             self._cells[plan.cell] = cell
         cell.configure(plan.service, plan.engines, plan.allowed_by_site)
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -56,14 +56,14 @@
         super().__init__(options)
         self._peer_by_member: dict[ids.MemberId, bus.Peer] = {}
         self._leaving = leaving_module.LeavingUpstreams()
-        self._trail = trail.Trail()
+        self._trail = trail.DecisionTrail()
         self._cell_configs: dict[ids.CellId, cells.CellConfig] = {}
         self._cells_revision = ids.Revision(0)
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.SCHEDULER, self._handle_scheduler_message)
+        self.open_clients(states.Role.SCHEDULER, self._handle_scheduler_message)
         self._placement = placement_module.Placement(
             self.config,
             options.data_centre,
@@ -110,18 +110,20 @@
         self.config.on_change(self._apply_configuration)
         self.peers.on_vm_list(self._apply_vm_list)
         self.peers.on_heartbeat(self._refresh_placement)
-        self.join()
-        keep = self.tasks.keep
+        self.start_peer_tasks()
+        keep = self.tasks.run_forever
         keep('placement', self._placement.run)
         keep('claims', self._claims.run)
         keep(
             'orphans',
-            lambda: tasks.every(
+            lambda: tasks.run_periodically(
                 lambda: orphans_module.CHECK_INTERVAL_S, self._orphans.check
             ),
         )
         poll = self.options.load_poll
-        keep('probes', lambda: tasks.every(lambda: poll, self._poll_loads))
+        keep(
+            'probes', lambda: tasks.run_periodically(lambda: poll, self._poll_loads)
+        )
 
     def _busy(self) -> bool:
         return bool(
@@ -204,7 +206,7 @@
         elif isinstance(message, messages.StatusRequest):
             send(self._status())
         elif isinstance(message, messages.ExplainRequest):
-            lines = self._trail.of(message.request)
+            lines = self._trail.lines_of(message.request)
             send(messages.ExplainReply(message.request, lines))
 
     def _handle_heartbeat(
