--- a/galenahatch/claiming.py
+++ b/galenahatch/claimclient.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Claiming keys: an entry's side of the talk with the claim writers.
+"""Client of the claim writers, used by entries to claim idempotency keys.
 
-`acquire` gives leave to run a request once, or the answer of the run that
-there was, or says why neither. Whatever is left of a claim afterwards,
-removing it or storing its answer, goes on in the background until the
-table confirms it, and a planned stop waits for that.
+`acquire` returns a claim to run a request once, the stored answer of an
+earlier run, or the reason for neither. Removing a claim and storing its answer
+continue in the background until the table confirms them; a planned stop waits
+for that.
 """
 
 import asyncio
@@ -38,24 +38,24 @@
 from galenahatch import states
 from galenahatch import tasks
 
-WRITERS: typing.Final = 2
-"""Schedulers of a region that write claims; bounds the writes a second."""
-_ASK_HOLDER_SECONDS: typing.Final = 1.0
-_REPLY_SECONDS: typing.Final = 5.0
-_RETRY_AFTER: typing.Final = 2.0
+MAX_WRITERS: typing.Final = 2
+"""Schedulers of a region that write claims; bounds the write rate."""
+_HOLDER_TIMEOUT_S: typing.Final = 1.0
+_REPLY_TIMEOUT_S: typing.Final = 5.0
+_RETRY_AFTER_S: typing.Final = 2.0
 _log = logs.Log('claiming')
-_ANSWER: typing.Final = msgspec.msgpack.Decoder(claim.Answer)
+_ANSWER_DECODER: typing.Final = msgspec.msgpack.Decoder(claim.Answer)
 
 Reply = messages.ClaimReply | messages.VoidReply | messages.DoneReply
 
 
 @dataclasses.dataclass(frozen=True)
 class Claimed:
-    """Leave to run a request once.
+    """A claim that permits one run of a request.
 
     Attributes:
-        key: of the claim.
-        record: as it stands in the table.
+        key: key of the claim.
+        record: record of the claim in the table.
     """
 
     key: ids.ClaimKey
@@ -67,45 +67,49 @@
         return self.record.token
 
 
-class Claiming:
-    """Claims of one entry.
+class ClaimClient:
+    """Acquires and settles the claims of one entry.
 
     Args:
-        peers: schedulers.
-        stored: the object store, for large answers.
-        owner: runs background tasks.
+        peers: links to the schedulers.
+        object_store: client of the object store, for large answers.
+        task_group: runs the background tasks.
         timeout: seconds after which a claim counts as unconfirmed.
     """
 
     def __init__(
         self,
         peers: peers_module.Peers,
-        stored: objects.Objects,
-        owner: tasks.Tasks,
+        object_store: objects.Objects,
+        task_group: tasks.Tasks,
         timeout: float,
     ) -> None:
         self._peers = peers
-        self._objects = stored
-        self._owner = owner
+        self._objects = object_store
+        self._tasks = task_group
         self._timeout = timeout
-        self._holdings = claim.ClaimTokens()
+        self._tokens = claim.ClaimTokens()
         self._replies: dict[ids.ClaimToken, asyncio.Future[Reply]] = {}
         self._queries: dict[
             ids.ClaimToken, asyncio.Future[messages.ClaimAnswer]
         ] = {}
-        self._voiding: dict[ids.ClaimToken, Claimed] = {}
+        self._pending_removals: dict[ids.ClaimToken, Claimed] = {}
 
     @property
-    def open(self) -> int:
-        """Claims whose fate is not in the table yet."""
-        return self._holdings.count_unsettled() + len(self._voiding)
+    def unsettled_count(self) -> int:
+        """Number of claims whose final state is not in the table yet."""
+        return self._tokens.count_unsettled() + len(self._pending_removals)
 
     async def acquire(
         self, key: ids.ClaimKey, fingerprint: str
     ) -> Claimed | claim.Answer | errors.Failure:
-        """Claim a key for one run."""
+        """Claim a key for one run of a request.
+
+        Returns:
+            the claim, the stored answer of an earlier run, or the failure.
+        """
         token = ids.ClaimToken(clock.random_token())
-        self._holdings.add_pending(token)
+        self._tokens.add_pending(token)
         request = messages.ClaimRequest(
             key,
             token,
@@ -118,7 +122,7 @@
         )
         claimed = Claimed(key, record)
         try:
-            reply = await self._ask(key, request, self._timeout)
+            reply = await self._send_to_writer(key, request, self._timeout)
         except asyncio.CancelledError:
             self.abandon(claimed)
             raise
@@ -127,55 +131,55 @@
             if reply.status is states.ClaimStatus.MINE:
                 return claimed
             if reply.status is states.ClaimStatus.OTHERS:
-                self._holdings.forget(token)
-                return await self._taken(reply, fingerprint)
+                self._tokens.forget(token)
+                return await self._resolve_existing(reply, fingerprint)
         self.abandon(claimed)
-        # Only a table that was read vouches for a key that never ran.
+        # Only a successful read of the table proves that the key never ran.
         absent = reply is not None and (
             reply.status is states.ClaimStatus.ABSENT
         )
         reason = errors.CLAIM_UNCONFIRMED if absent else errors.CLAIM_UNREAD
-        return errors.Failure(reason, retry_after=_RETRY_AFTER)
+        return errors.Failure(reason, retry_after=_RETRY_AFTER_S)
 
-    def dispatch(self, claimed: Claimed) -> bool:
-        """Return whether the work may be sent now, once."""
-        return self._holdings.try_dispatch(claimed.token)
+    def try_dispatch(self, claimed: Claimed) -> bool:
+        """Mark the claim as dispatched; return whether work may be sent."""
+        return self._tokens.try_dispatch(claimed.token)
 
     def abandon(self, claimed: Claimed, not_started: bool = False) -> None:
-        """Give a claim up and remove it in the background.
+        """Abandon a claim and remove it in the background.
 
         Args:
-            claimed: the claim.
-            not_started: it is known that no upstream began the work though
-                it was dispatched.
+            claimed: claim to abandon.
+            not_started: whether it is certain that no upstream started the
+                work although it was dispatched.
         """
         if not_started:
-            self._holdings.abandon_dispatched(claimed.token)
-        elif not self._holdings.abandon(claimed.token):
+            self._tokens.abandon_dispatched(claimed.token)
+        elif not self._tokens.abandon(claimed.token):
             return
-        self._void(claimed)
+        self._remove_in_background(claimed)
 
     def finish(self, claimed: Claimed, answer: claim.Answer) -> None:
-        """Keep an answer and store it in the background."""
-        self._holdings.finish(claimed.token, answer)
-        self._owner.run_once(self._store(claimed, answer))
+        """Record an answer and store it in the background."""
+        self._tokens.finish(claimed.token, answer)
+        self._tasks.run_once(self._store_until_confirmed(claimed, answer))
 
-    def take(self, message: messages.AnyMessage) -> None:
-        """Take a message about claims from a scheduler."""
+    def handle_message(self, message: messages.AnyMessage) -> None:
+        """Handle a message about claims from a scheduler."""
         if isinstance(message, messages.ClaimQuery):
             self._answer_query(message)
         elif isinstance(message, messages.ClaimAnswer):
-            self._take_answer(message)
+            self._handle_claim_answer(message)
         elif isinstance(message, Reply):
             future = self._replies.get(message.token)
             if future is not None and not future.done():
                 future.set_result(message)
 
-    def _take_answer(self, message: messages.ClaimAnswer) -> None:
-        """Take what a scheduler or the holder says of a claim.
+    def _handle_claim_answer(self, message: messages.ClaimAnswer) -> None:
+        """Handle an answer about a claim from its holder or a scheduler.
 
-        Every scheduler is asked, and one that has no word of the holder
-        knows nothing: its answer doesn't count.
+        Every scheduler is queried. One that has not heard from the holder
+        answers SILENT, which says nothing about the claim and is ignored.
         """
         query = self._queries.get(message.token)
         if message.state is states.HolderState.SILENT or query is None:
@@ -183,9 +187,9 @@
         if not query.done():
             query.set_result(message)
 
-    # Talk with the claim writers.
+    # Requests to the claim writers.
 
-    async def _ask(
+    async def _send_to_writer(
         self,
         key: ids.ClaimKey,
         message: messages.ClaimRequest
@@ -193,7 +197,7 @@
         | messages.ClaimDone,
         seconds: float,
     ) -> Reply | None:
-        """Send an operation to its writer; None without an answer."""
+        """Send an operation to its writer; return None on a timeout."""
         writer = self._writer(key)
         if writer is None or not self._peers.send(writer, message):
             return None
@@ -209,13 +213,15 @@
             self._replies.pop(message.token, None)
 
     def _writer(self, key: ids.ClaimKey) -> ids.MemberId | None:
-        """Return the scheduler that writes a key."""
+        """Return the scheduler that writes the claims of a key."""
         live = self._peers.schedulers()
-        writers = rendezvous.rank('claims', live)[:WRITERS]
+        writers = rendezvous.rank('claims', live)[:MAX_WRITERS]
         return rendezvous.winner(key, writers)
 
-    async def _store(self, claimed: Claimed, answer: claim.Answer) -> None:
-        """Store an answer until the table has it."""
+    async def _store_until_confirmed(
+        self, claimed: Claimed, answer: claim.Answer
+    ) -> None:
+        """Store an answer, retrying until the table confirms it."""
         object_key = ''
         attempt = 0
         if len(answer.body) > claim.MAX_INLINE_ANSWER_BYTES:
@@ -224,43 +230,47 @@
             while await self._objects.put(object_key, body) is not None:
                 attempt += 1
                 await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        done = claim.finished_record(claimed.record, answer, object_key)
+        finished = claim.finished_record(claimed.record, answer, object_key)
         message = messages.ClaimDone(
             claimed.key,
             claimed.token,
             claim.encode(claimed.record),
-            claim.encode(done),
+            claim.encode(finished),
         )
         while True:
-            reply = await self._ask(claimed.key, message, _REPLY_SECONDS)
+            reply = await self._send_to_writer(
+                claimed.key, message, _REPLY_TIMEOUT_S
+            )
             if isinstance(reply, messages.DoneReply) and reply.stored:
                 break
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        self._holdings.forget(claimed.token)
+        self._tokens.forget(claimed.token)
 
-    def _void(self, claimed: Claimed) -> None:
-        if claimed.token not in self._voiding:
-            self._voiding[claimed.token] = claimed
-            self._owner.run_once(self._remove(claimed))
+    def _remove_in_background(self, claimed: Claimed) -> None:
+        if claimed.token not in self._pending_removals:
+            self._pending_removals[claimed.token] = claimed
+            self._tasks.run_once(self._remove_until_confirmed(claimed))
 
-    async def _remove(self, claimed: Claimed) -> None:
-        """Remove a claim until the table no longer has it."""
+    async def _remove_until_confirmed(self, claimed: Claimed) -> None:
+        """Remove a claim, retrying until the table confirms the removal."""
         message = messages.ClaimVoid(
             claimed.key, claimed.token, claim.encode(claimed.record)
         )
         attempt = 0
         while True:
-            reply = await self._ask(claimed.key, message, _REPLY_SECONDS)
-            if isinstance(reply, messages.VoidReply) and reply.gone:
+            reply = await self._send_to_writer(
+                claimed.key, message, _REPLY_TIMEOUT_S
+            )
+            if isinstance(reply, messages.VoidReply) and reply.removed:
                 break
             attempt += 1
             await asyncio.sleep(retry.backoff(attempt, clock.RANDOM))
-        self._voiding.pop(claimed.token, None)
+        self._pending_removals.pop(claimed.token, None)
 
-    # Keys that another claim holds.
+    # Keys that another claim already holds.
 
-    async def _taken(
+    async def _resolve_existing(
         self, reply: messages.ClaimReply, fingerprint: str
     ) -> claim.Answer | errors.Failure:
         record = claim.decode(reply.record)
@@ -270,14 +280,14 @@
         if verdict is claim.Arrival.REUSED:
             return errors.Failure(errors.KEY_REUSED)
         if verdict is claim.Arrival.REPLAY:
-            return await self._stored(record)
-        state = await self._state_of(reply.key, record)
+            return await self._load_stored_answer(record)
+        state = await self._holder_state(reply.key, record)
         if isinstance(state, claim.Answer):
             return state
         _log.info('Key is taken.', key=reply.key, state=state.value)
-        return _while_taken(state)
+        return _existing_claim_failure(state)
 
-    async def _stored(
+    async def _load_stored_answer(
         self, record: claim.Record
     ) -> claim.Answer | errors.Failure:
         if record.answer is not None:
@@ -288,14 +298,14 @@
             return errors.Failure(errors.STORE_UNAVAILABLE, detail, 2.0)
         return _decode_answer(body)
 
-    async def _state_of(
+    async def _holder_state(
         self, key: ids.ClaimKey, record: claim.Record
     ) -> states.HolderState | claim.Answer:
-        """Return what the holder of a claim says of it."""
-        mine = (self._peers.member, self._peers.incarnation)
-        if (record.holder, record.incarnation) == mine:
+        """Return the claim's state, or its answer, as its holder reports."""
+        own_identity = (self._peers.member, self._peers.incarnation)
+        if (record.holder, record.incarnation) == own_identity:
             return self._own_state(record, key)
-        reply = await self._ask_holder(key, record)
+        reply = await self._query_holder(key, record)
         if reply is None:
             return states.HolderState.SILENT
         if reply.state is states.HolderState.FINISHED:
@@ -304,7 +314,7 @@
                 return answer
         return reply.state
 
-    async def _ask_holder(
+    async def _query_holder(
         self, key: ids.ClaimKey, record: claim.Record
     ) -> messages.ClaimAnswer | None:
         query = messages.ClaimQuery(
@@ -312,8 +322,8 @@
             token=record.token,
             holder=record.holder,
             incarnation=record.incarnation,
-            asker=self._peers.member,
-            claimed=claim.encode(record),
+            requester=self._peers.member,
+            record=claim.encode(record),
         )
         future = self._queries.get(record.token)
         if future is None:
@@ -322,7 +332,7 @@
         self._peers.broadcast(query)
         try:
             with contextlib.suppress(asyncio.TimeoutError):
-                async with asyncio.timeout(_ASK_HOLDER_SECONDS):
+                async with asyncio.timeout(_HOLDER_TIMEOUT_S):
                     return await asyncio.shield(future)
             return None
         finally:
@@ -331,50 +341,52 @@
     def _own_state(
         self, record: claim.Record, key: ids.ClaimKey
     ) -> states.HolderState | claim.Answer:
-        answer = self._holdings.answer(record.token)
+        answer = self._tokens.answer(record.token)
         if answer is not None:
             return answer
-        hold = self._holdings.state(record.token)
-        if hold is claim.Hold.ABANDONED:
-            self._void(Claimed(key, record))
+        token_state = self._tokens.state(record.token)
+        if token_state is claim.Hold.ABANDONED:
+            self._remove_in_background(Claimed(key, record))
             return states.HolderState.ABANDONED
-        if hold is None:
+        if token_state is None:
             return states.HolderState.FORGOTTEN
         return states.HolderState.RUNNING
 
     def _answer_query(self, query: messages.ClaimQuery) -> None:
-        """Answer another entry's question about a token of this one."""
-        hold = self._holdings.state(query.token)
-        known = {
+        """Answer another entry's query about a token of this entry."""
+        token_state = self._tokens.state(query.token)
+        reported_states = {
             claim.Hold.PENDING: states.HolderState.RUNNING,
             claim.Hold.RUNNING: states.HolderState.RUNNING,
             claim.Hold.FINISHED: states.HolderState.FINISHED,
             claim.Hold.ABANDONED: states.HolderState.ABANDONED,
             None: states.HolderState.FORGOTTEN,
         }
-        if hold is claim.Hold.ABANDONED:
-            record = claim.decode(query.claimed)
+        if token_state is claim.Hold.ABANDONED:
+            record = claim.decode(query.record)
             if isinstance(record, claim.Record):
-                self._void(Claimed(query.key, record))
-        answer = self._holdings.answer(query.token)
+                self._remove_in_background(Claimed(query.key, record))
+        answer = self._tokens.answer(query.token)
         body = msgspec.msgpack.encode(answer) if answer else b''
         reply = messages.ClaimAnswer(
-            query.token, query.asker, known[hold], body
+            query.token, query.requester, reported_states[token_state], body
         )
         self._peers.broadcast(reply)
 
 
 def _decode_answer(body: bytes) -> claim.Answer | errors.Failure:
     try:
-        return _ANSWER.decode(body)
+        return _ANSWER_DECODER.decode(body)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_FRAME, str(error))
 
 
-def _while_taken(state: states.HolderState) -> errors.Failure:
-    """Return what a second arrival is told."""
+def _existing_claim_failure(state: states.HolderState) -> errors.Failure:
+    """Return the failure for a request whose key is already claimed."""
     if state is states.HolderState.ABANDONED:
-        return errors.Failure(errors.CLAIM_ABANDONED, retry_after=_RETRY_AFTER)
+        return errors.Failure(
+            errors.CLAIM_ABANDONED, retry_after=_RETRY_AFTER_S
+        )
     if state is states.HolderState.GONE:
         return errors.Failure(errors.HOLDER_GONE)
-    return errors.Failure(errors.IN_FLIGHT, state.value, _RETRY_AFTER)
+    return errors.Failure(errors.IN_FLIGHT, state.value, _RETRY_AFTER_S)
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The other daemons, as one daemon sees them.
+"""Links to the schedulers, and the membership that a daemon observes.
 
-Every daemon connects to the schedulers of its region: those it was set up
-with and those that the VM list has. It sends heartbeats over each link and
-hears the schedulers' own in return; a scheduler hears all roles. The
-interval grows with the number of members, which bounds what heartbeats
-cost a daemon however large the region is.
+Every daemon connects to the schedulers of its region: those in its options
+and those in the VM list. It sends heartbeats over each link and receives the
+schedulers' heartbeats in return; a scheduler receives those of all roles. The
+interval grows with the number of members, which bounds the cost of heartbeats
+for a daemon in a region of any size.
 """
 
 import collections.abc
@@ -35,8 +35,8 @@
 from galenahatch import states
 from galenahatch import tasks
 
-_SECONDS_PER_MEMBER: typing.Final = 0.02
-_FIRST_LINKS: typing.Final = 8
+_INTERVAL_PER_MEMBER_S: typing.Final = 0.02
+_MAX_INITIAL_LINKS: typing.Final = 8
 _log = logs.Log('peers')
 
 Handler = collections.abc.Callable[[messages.AnyMessage], None]
@@ -44,58 +44,62 @@
 
 
 class Peers:
-    """Links to the schedulers, and who is alive.
+    """Links to the schedulers, and the live members.
 
     Args:
-        options: settings.
-        role: of this daemon.
-        in_force: the daemon's configuration.
-        platform: client of the VM list.
-        handler: called with each message that is not about peers.
+        options: options of this daemon.
+        role: role of this daemon.
+        settings: distribution of the configuration.
+        vm_client: client of the VM list.
+        handler: callback for each message that is not about peers.
     """
 
     def __init__(
         self,
         options: options_module.Options,
         role: states.Role,
-        in_force: distribution.Distribution,
-        platform: vms.Vms,
+        settings: distribution.Distribution,
+        vm_client: vms.Vms,
         handler: Handler,
     ) -> None:
         self._options = options
         self._role = role
-        self._config = in_force
-        self._vms = platform
+        self._config = settings
+        self._vms = vm_client
         self._handler = handler
         self._links: dict[ids.MemberId, bus.Link[messages.AnyMessage]] = {}
-        self._listeners: list[VmListener] = []
-        self._reports: list[collections.abc.Callable[[], None]] = []
+        self._vm_listeners: list[VmListener] = []
+        self._heartbeat_listeners: list[
+            collections.abc.Callable[[], None]
+        ] = []
         self._system_vms: dict[str, vms.Vm] = {}
         self.incarnation = clock.random_incarnation()
         self.member = member_id(role, options)
-        self.membership = membership.Membership(self._silence())
+        self.membership = membership.Membership(self._silence_timeout())
         self.standing = states.Standing.LIVE
-        self.why_not_ready = ''
+        self.not_ready_reason = ''
         self.load = 0
 
-    def listen(self, listener: VmListener) -> None:
-        """Call a function with each VM list."""
-        self._listeners.append(listener)
+    def on_vm_list(self, listener: VmListener) -> None:
+        """Register a callback for each VM list."""
+        self._vm_listeners.append(listener)
 
-    def report(self, send: collections.abc.Callable[[], None]) -> None:
-        """Call a function after each round of heartbeats."""
-        self._reports.append(send)
+    def on_heartbeat(
+        self, listener: collections.abc.Callable[[], None]
+    ) -> None:
+        """Register a callback for each round of heartbeats."""
+        self._heartbeat_listeners.append(listener)
 
-    def run(self, owner: tasks.Tasks) -> None:
-        """Start the tasks."""
+    def start(self, task_group: tasks.Tasks) -> None:
+        """Connect to the configured peers and start the tasks."""
         for address in self._options.peers:
             self._connect(address)
         interval = self.interval
-        owner.run_forever(
-            'heartbeats', lambda: tasks.run_periodically(interval, self._beat)
+        task_group.run_forever(
+            'heartbeats', lambda: tasks.run_periodically(interval, self._send_heartbeats)
         )
         poll = self._options.vms_poll
-        owner.run_forever(
+        task_group.run_forever(
             'vms', lambda: tasks.run_periodically(lambda: poll, self._read_vms)
         )
 
@@ -106,16 +110,16 @@
         self._links.clear()
 
     def interval(self) -> float:
-        """Return the time between two heartbeats."""
-        grown = self.membership.count() * _SECONDS_PER_MEMBER
-        return max(self._options.heartbeat, grown)
+        """Return the heartbeat interval in seconds."""
+        scaled = self.membership.count() * _INTERVAL_PER_MEMBER_S
+        return max(self._options.heartbeat, scaled)
 
     def schedulers(self) -> list[ids.MemberId]:
         """Return the live schedulers."""
         return self.membership.live_members(states.Role.SCHEDULER, clock.now())
 
     def send(self, member: ids.MemberId, message: messages.AnyMessage) -> bool:
-        """Send a message to a scheduler; False without a link to it."""
+        """Send a message to a scheduler; return False without a link."""
         link = self._links.get(member)
         if link is None:
             return False
@@ -135,71 +139,71 @@
             data_centre=self._options.data_centre,
             standing=self.standing,
             revision=self._config.revision,
-            ready=not self.why_not_ready,
+            ready=not self.not_ready_reason,
             load=self.load,
-            why=self.why_not_ready,
+            reason=self.not_ready_reason,
         )
 
-    def heard(self, heartbeat: messages.Heartbeat) -> None:
-        """Take a heartbeat, from a link or from the hub."""
+    def record_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
+        """Record a heartbeat received from a link or from the hub."""
         now = clock.now()
-        fresh = self.membership.record_heartbeat(heartbeat, now)
-        if fresh and heartbeat.member != self.member:
+        is_new = self.membership.record_heartbeat(heartbeat, now)
+        if is_new and heartbeat.member != self.member:
             _log.info(
                 'Member seen.',
                 member=heartbeat.member,
                 incarnation=heartbeat.incarnation,
             )
-        self._config.hint(heartbeat.member, heartbeat.revision)
+        self._config.record_peer_revision(heartbeat.member, heartbeat.revision)
 
-    def _silence(self) -> float:
+    def _silence_timeout(self) -> float:
         return self._options.silence * self._options.heartbeat
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         now = clock.now()
         self.membership.silence_timeout = (
             self._options.silence * self.interval()
         )
         self.membership.forget_silent(now)
         self.broadcast(self.heartbeat())
-        for report in self._reports:
-            report()
+        for listener in self._heartbeat_listeners:
+            listener()
 
     async def _read_vms(self) -> None:
-        listed = await self._vms.read()
-        if isinstance(listed, errors.Failure):
+        vm_list = await self._vms.read()
+        if isinstance(vm_list, errors.Failure):
             return
-        system = [vm for vm in listed.vms if vm.group == vms.SYSTEM]
+        system_vms = [vm for vm in vm_list.vms if vm.group == vms.SYSTEM]
         self.membership.record_vm_list(
-            (vm.address for vm in system if vm.state == 'live'),
-            (vm.address for vm in system if vm.state != 'live'),
+            (vm.address for vm in system_vms if vm.state == 'live'),
+            (vm.address for vm in system_vms if vm.state != 'live'),
         )
-        self._system_vms = {vm.address: vm for vm in system}
-        self._connect_listed()
-        for listener in self._listeners:
-            listener(listed)
-
-    def _connect_listed(self) -> None:
-        wanted = {vm.address for vm in self._wanted()}
-        wanted.update(self._options.peers)
-        for address in sorted(wanted):
+        self._system_vms = {vm.address: vm for vm in system_vms}
+        self._update_links()
+        for listener in self._vm_listeners:
+            listener(vm_list)
+
+    def _update_links(self) -> None:
+        addresses = {vm.address for vm in self._reachable_vms()}
+        addresses.update(self._options.peers)
+        for address in sorted(addresses):
             self._connect(address)
         for member in list(self._links):
             address = membership.address_of(member)
-            silent = self.membership.silence_duration(member, clock.now())
-            gone = address not in wanted and not 0 <= silent < 30
-            if gone:
+            silence = self.membership.silence_duration(member, clock.now())
+            unreachable = address not in addresses and not 0 <= silence < 30
+            if unreachable:
                 self._links.pop(member).close()
 
-    def _wanted(self) -> list[vms.Vm]:
-        """Return the VMs of this region, or a few while it is not known."""
-        listed = sorted(self._system_vms.values(), key=lambda vm: vm.name)
+    def _reachable_vms(self) -> list[vms.Vm]:
+        """Return the VMs of this region, or a few while it is unknown."""
+        vm_list = sorted(self._system_vms.values(), key=lambda vm: vm.name)
         region = self._config.region_of(self._options.data_centre)
         if region is None:
-            return listed[:_FIRST_LINKS]
+            return vm_list[:_MAX_INITIAL_LINKS]
         return [
             vm
-            for vm in listed
+            for vm in vm_list
             if self._config.region_of(ids.DataCentre(vm.data_centre)) == region
         ]
 
@@ -214,9 +218,9 @@
 
     def _receive(self, message: messages.AnyMessage) -> None:
         if isinstance(message, messages.Heartbeat):
-            self.heard(message)
+            self.record_heartbeat(message)
         elif isinstance(message, messages.ConfigBody):
-            self._config.offered(message)
+            self._config.apply_peer_config(message)
         else:
             self._handler(message)
 
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Callers' HTTP: from a request to its answer.
+"""HTTP handlers for callers' requests.
 
-A handler checks a request, claims it if it may run only once, lets a
-course run it within its deadline, settles the claim, and answers. When a
-caller goes away its handler is cancelled, and with it the course, which
-frees the engines.
+A handler validates a request, claims its key if it is non-idempotent, executes
+it within its deadline, settles the claim, and responds. When a caller
+disconnects, its handler and the execution are cancelled, which releases the
+engines.
 """
 
 import asyncio
@@ -26,17 +26,17 @@
 
 from galenahatch import answers
 from galenahatch import attempt
-from galenahatch import claiming as claiming_module
+from galenahatch import claimclient
 from galenahatch import clock
 from galenahatch.core import claim
-from galenahatch import course as course_module
 from galenahatch import distribution
 from galenahatch import errors
+from galenahatch import execution
 from galenahatch import ids
 from galenahatch import inbound
 from galenahatch import logs
 from galenahatch import metrics
-from galenahatch import plain as plain_module
+from galenahatch import plainservices
 from galenahatch import schema
 
 _BODY_SECONDS: typing.Final = 30.0
@@ -44,8 +44,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Arrived:
-    """A request with its body, whose caller and headers are checked."""
+class ReceivedRequest:
+    """A request with its body, authenticated caller and valid headers."""
 
     request: web.Request
     body: bytes
@@ -55,26 +55,26 @@
 
 
 class Serving:
-    """Handlers of one entry.
+    """HTTP handlers of one entry.
 
     Attributes:
-        in_flight: requests that have no answer yet.
-        closed: whether new requests are refused.
+        in_flight: number of requests without a response.
+        draining: whether new requests are refused.
     """
 
     def __init__(
         self,
         settings: distribution.Distribution,
-        means: attempt.Means,
-        claiming: claiming_module.Claiming,
-        plain: plain_module.Plain,
+        context: attempt.AttemptContext,
+        claim_client: claimclient.ClaimClient,
+        plain_services: plainservices.PlainServices,
     ) -> None:
         self._config = settings
-        self._means = means
-        self._claiming = claiming
-        self._plain = plain
+        self._context = context
+        self._claims = claim_client
+        self._plain_services = plain_services
         self.in_flight = 0
-        self.closed = False
+        self.draining = False
 
     def routes(self) -> list[web.RouteDef]:
         """Return the routes for callers."""
@@ -82,7 +82,9 @@
             web.post('/v1/completions', self._completion),
             web.post('/v1/chat/completions', self._chat),
             web.get('/v1/models', self._models),
-            web.route('*', '/v1/services/{name}/{tail:.*}', self._service),
+            web.route(
+                '*', '/v1/services/{name}/{tail:.*}', self._plain_service
+            ),
         ]
 
     @web.middleware
@@ -93,201 +95,224 @@
             [web.Request], typing.Awaitable[web.StreamResponse]
         ],
     ) -> web.StreamResponse:
-        """Turn every way a handler can fail into a typed answer."""
-        none = ids.RequestId('')
+        """Convert every exception of a handler into a typed error response."""
+        no_id = ids.RequestId('')
         try:
             response = await handler(request)
         except web.HTTPRequestEntityTooLarge:
             failure = errors.Failure(errors.BODY_TOO_LARGE)
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, no_id)
         except web.HTTPException as error:
             failure = errors.Failure(errors.NO_ROUTE, str(error.status))
-            response = answers.refusal_of(failure, none)
+            response = answers.failure_response(failure, no_id)
         except ConnectionError:
             raise
         except Exception as error:  # noqa: H201  (logged, typed answer)
             _log.error('Handler failed.', error=repr(error))
             failure = errors.Failure(errors.INTERNAL)
-            response = answers.refusal_of(failure, none)
-        if self.closed and not response.prepared:
+            response = answers.failure_response(failure, no_id)
+        if self.draining and not response.prepared:
             response.force_close()
         return response
 
     async def _completion(self, request: web.Request) -> web.StreamResponse:
-        return await self._counted(request, self._model, False)
+        return await self._handle(request, self._run_model_request, False)
 
     async def _chat(self, request: web.Request) -> web.StreamResponse:
-        return await self._counted(request, self._model, True)
+        return await self._handle(request, self._run_model_request, True)
 
     async def _models(self, request: web.Request) -> web.StreamResponse:
-        """List the models for a known caller."""
-        none = ids.RequestId('')
-        settings = self._config.mine()
-        if self.closed or settings is None:
-            return answers.refusal_of(self._unavailable(request), none)
+        """List the models for an authenticated caller."""
+        no_id = ids.RequestId('')
+        settings = self._config.own_config()
+        if self.draining or settings is None:
+            return answers.failure_response(self._unavailable(request), no_id)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.refusal_of(caller, none)
-        return answers.response_of(answers.models(settings), none)
+            return answers.failure_response(caller, no_id)
+        return answers.build_response(answers.model_list(settings), no_id)
 
-    async def _service(self, request: web.Request) -> web.StreamResponse:
-        return await self._counted(request, self._call, False)
+    async def _plain_service(self, request: web.Request) -> web.StreamResponse:
+        return await self._handle(request, self._call_plain_service, False)
 
-    async def _counted(
+    async def _handle(
         self,
         request: web.Request,
         handler: typing.Callable[
-            [Arrived, bool], typing.Awaitable[web.StreamResponse]
+            [ReceivedRequest, bool], typing.Awaitable[web.StreamResponse]
         ],
         chat: bool,
     ) -> web.StreamResponse:
-        """Admit a request and count it while it is in flight."""
-        none = ids.RequestId('')
-        settings = self._config.mine()
-        if self.closed or settings is None:
-            return answers.refusal_of(self._unavailable(request), none)
+        """Authenticate a request, count it as in flight, and handle it."""
+        no_id = ids.RequestId('')
+        settings = self._config.own_config()
+        if self.draining or settings is None:
+            return answers.failure_response(self._unavailable(request), no_id)
         caller = inbound.read_caller(request.headers, settings)
         if isinstance(caller, errors.Failure):
-            return answers.refusal_of(caller, none)
+            return answers.failure_response(caller, no_id)
         headers = inbound.read_headers(request.headers)
         if isinstance(headers, errors.Failure):
-            return answers.refusal_of(headers, none)
+            return answers.failure_response(headers, no_id)
         self.in_flight += 1
         try:
             body = await _read_body(request)
             if isinstance(body, errors.Failure):
-                return answers.refusal_of(body, headers.request)
-            arrived = Arrived(request, body, settings, caller, headers)
-            return await handler(arrived, chat)
+                return answers.failure_response(body, headers.request)
+            received = ReceivedRequest(
+                request, body, settings, caller, headers
+            )
+            return await handler(received, chat)
         finally:
             self.in_flight -= 1
 
     def _unavailable(self, request: web.Request) -> errors.Failure:
-        """Return why no request is taken now.
+        """Return the failure for requests that cannot be served now.
 
-        Whether an earlier arrival of a key ran is not looked up, so a
-        request that may run only once is not told that it was not run.
+        Whether an earlier request with the same key ran is not looked up, so
+        the failure for a request with a key does not claim that it never ran.
         """
-        reason = errors.LEAVING if self.closed else errors.NO_CONFIGURATION
+        reason = errors.LEAVING if self.draining else errors.NO_CONFIGURATION
         if inbound.IDEMPOTENCY_KEY in request.headers:
             detail = f'{reason.name}: {reason.message}'
             return errors.Failure(errors.CLAIM_UNREAD, detail, 1.0)
         return errors.Failure(reason)
 
-    async def _call(self, arrived: Arrived, chat: bool) -> web.StreamResponse:
-        """Route a call to a plain service."""
-        return await self._plain.serve(
-            arrived.request,
-            arrived.body,
-            arrived.settings,
-            arrived.caller,
-            arrived.headers,
+    async def _call_plain_service(
+        self, received: ReceivedRequest, chat: bool
+    ) -> web.StreamResponse:
+        """Forward a call to a plain service."""
+        return await self._plain_services.serve(
+            received.request,
+            received.body,
+            received.settings,
+            received.caller,
+            received.headers,
         )
 
-    async def _model(self, arrived: Arrived, chat: bool) -> web.StreamResponse:
-        """Run a request for a model service."""
-        request = arrived.request
-        headers = arrived.headers
-        asked = inbound.read_model_request(
-            arrived.body, headers, arrived.caller, arrived.settings, chat
+    async def _run_model_request(
+        self, received: ReceivedRequest, chat: bool
+    ) -> web.StreamResponse:
+        """Validate, claim and run a request for a model service."""
+        request = received.request
+        headers = received.headers
+        model_request = inbound.read_model_request(
+            received.body, headers, received.caller, received.settings, chat
         )
-        if isinstance(asked, errors.Failure):
-            return self._refuse(asked, headers.request)
+        if isinstance(model_request, errors.Failure):
+            return self._failure_response(model_request, headers.request)
         if not headers.non_idempotent:
-            return await self._run(request, asked, None)
-        key = claim.claim_key(arrived.caller.name, headers.key)
-        print_of_body = claim.request_fingerprint(request.path, arrived.body)
-        claimed = await self._claiming.acquire(key, print_of_body)
+            return await self._run(request, model_request, None)
+        key = claim.claim_key(received.caller.name, headers.key)
+        fingerprint = claim.request_fingerprint(request.path, received.body)
+        claimed = await self._claims.acquire(key, fingerprint)
         if isinstance(claimed, errors.Failure):
-            return self._refuse(claimed, headers.request)
+            return self._failure_response(claimed, headers.request)
         if isinstance(claimed, claim.Answer):
             _log.info('Answer repeated.', request=headers.request, key=key)
-            return await _replay(request, asked, claimed)
-        return await self._run(request, asked, claimed)
+            return await _replay(request, model_request, claimed)
+        return await self._run(request, model_request, claimed)
 
-    def _refuse(
+    def _failure_response(
         self, failure: errors.Failure, request: ids.RequestId
     ) -> web.StreamResponse:
-        _log_end(request, failure)
-        return answers.refusal_of(failure, request)
+        _record_end(request, failure)
+        return answers.failure_response(failure, request)
 
     async def _run(
         self,
         request: web.Request,
-        asked: inbound.ModelRequest,
-        claimed: claiming_module.Claimed | None,
+        model_request: inbound.ModelRequest,
+        claimed: claimclient.Claimed | None,
     ) -> web.StreamResponse:
-        """Run a course within its deadline, settle its claim, answer."""
-        stream = answers.StreamSink(request, asked) if asked.stream else None
+        """Run a request within its deadline, settle its claim, and respond."""
+        stream = (
+            answers.StreamSink(request, model_request)
+            if model_request.stream
+            else None
+        )
 
-        def may_send() -> bool:
-            return claimed is None or self._claiming.dispatch(claimed)
+        def try_dispatch() -> bool:
+            return claimed is None or self._claims.try_dispatch(claimed)
 
-        course = course_module.Course(
-            self._means, asked, stream or answers.NoSink(), may_send
+        request_run = execution.RequestExecution(
+            self._context,
+            model_request,
+            stream or answers.DiscardingSink(),
+            try_dispatch,
         )
         try:
-            failure = await self._within_deadline(course, asked)
+            failure = await self._run_within_deadline(
+                request_run, model_request
+            )
         except asyncio.CancelledError:
             failure = errors.Failure(errors.CALLER_GONE)
-            self._settle(course, asked, claimed, failure)
-            _log_end(asked.headers.request, failure)
+            self._settle_claim(request_run, model_request, claimed, failure)
+            _record_end(model_request.headers.request, failure)
             raise
-        self._settle(course, asked, claimed, failure)
-        _log_end(asked.headers.request, failure)
-        return await self._reply(course, asked, stream, failure)
+        self._settle_claim(request_run, model_request, claimed, failure)
+        _record_end(model_request.headers.request, failure)
+        return await self._reply(request_run, model_request, stream, failure)
 
-    async def _within_deadline(
-        self, course: course_module.Course, asked: inbound.ModelRequest
+    async def _run_within_deadline(
+        self,
+        request_run: execution.RequestExecution,
+        model_request: inbound.ModelRequest,
     ) -> errors.Failure | None:
         try:
-            async with asyncio.timeout(asked.deadline):
-                return await course.run()
+            async with asyncio.timeout(model_request.deadline):
+                return await request_run.run()
         except asyncio.TimeoutError:
-            if course.maybe_started:
+            if request_run.maybe_started:
                 return errors.Failure(errors.DEADLINE)
             return errors.Failure(errors.NO_TIME, retry_after=1.0)
 
-    def _settle(
+    def _settle_claim(
         self,
-        course: course_module.Course,
-        asked: inbound.ModelRequest,
-        claimed: claiming_module.Claimed | None,
+        request_run: execution.RequestExecution,
+        model_request: inbound.ModelRequest,
+        claimed: claimclient.Claimed | None,
         failure: errors.Failure | None,
     ) -> None:
-        """Store what a claimed request came to, or remove its claim."""
+        """Store the outcome of a claimed request, or remove its claim."""
         if claimed is None:
             return
-        request = asked.headers.request
+        request = model_request.headers.request
         if failure is None:
-            answer = answers.whole(
-                asked, course.text, course.finish, course.tokens
+            answer = answers.completion(
+                model_request,
+                request_run.text,
+                request_run.finish_reason,
+                request_run.token_count,
             )
-            self._claiming.finish(claimed, answer)
-        elif course.maybe_started:
-            answer = answers.failed(failure, request)
-            self._claiming.finish(claimed, answer)
+            self._claims.finish(claimed, answer)
+        elif request_run.maybe_started:
+            answer = answers.failure_answer(failure, request)
+            self._claims.finish(claimed, answer)
         else:
-            self._claiming.abandon(claimed, not_started=True)
+            self._claims.abandon(claimed, not_started=True)
 
     async def _reply(
         self,
-        course: course_module.Course,
-        asked: inbound.ModelRequest,
+        request_run: execution.RequestExecution,
+        model_request: inbound.ModelRequest,
         stream: answers.StreamSink | None,
         failure: errors.Failure | None,
     ) -> web.StreamResponse:
-        request = asked.headers.request
+        request = model_request.headers.request
         if failure is not None:
             if stream is not None and stream.response is not None:
                 return await stream.fail(failure)
-            return answers.refusal_of(failure, request)
+            return answers.failure_response(failure, request)
         if stream is not None:
-            return await stream.end(course.finish)
-        answer = answers.whole(
-            asked, course.text, course.finish, course.tokens
+            return await stream.end(request_run.finish_reason)
+        answer = answers.completion(
+            model_request,
+            request_run.text,
+            request_run.finish_reason,
+            request_run.token_count,
         )
-        return answers.response_of(answer, request)
+        return answers.build_response(answer, request)
 
 
 async def _read_body(request: web.Request) -> bytes | errors.Failure:
@@ -299,18 +324,26 @@
 
 
 async def _replay(
-    request: web.Request, asked: inbound.ModelRequest, answer: claim.Answer
+    request: web.Request,
+    model_request: inbound.ModelRequest,
+    answer: claim.Answer,
 ) -> web.StreamResponse:
-    """Give a stored answer again in the form that was asked for."""
-    stored = answers.stored_text(answer) if asked.stream else None
+    """Send a stored answer in the requested form."""
+    stored = (
+        answers.decode_stored_completion(answer)
+        if model_request.stream
+        else None
+    )
     if stored is None:
-        return answers.response_of(answer, asked.headers.request)
-    stream = answers.StreamSink(request, asked)
-    await stream.tokens(stored.text)
+        return answers.build_response(answer, model_request.headers.request)
+    stream = answers.StreamSink(request, model_request)
+    await stream.send_text(stored.text)
     return await stream.end(stored.finish)
 
 
-def _log_end(request: ids.RequestId, failure: errors.Failure | None) -> None:
+def _record_end(
+    request: ids.RequestId, failure: errors.Failure | None
+) -> None:
     reason = failure.reason.name if failure else 'whole'
     outcome = failure.outcome if failure else errors.Outcome.ANSWERED
     metrics.requests.add(1, {'outcome': outcome.value, 'reason': reason})
