--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -56,7 +56,7 @@
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.ENTRY, self._handle_message)
+        self.open_clients(states.Role.ENTRY, self._handle_message)
         self._non_idempotent_session = http.session(
             options.connect_timeout, options.idle_timeout, reuse=False
         )
@@ -85,7 +85,7 @@
         self.config.on_change(self._apply_configuration)
         self.peers.on_vm_list(self._apply_vm_list)
         self.peers.on_heartbeat(self._update_heartbeat)
-        self.join()
+        self.start_peer_tasks()
         await self._start_listening()
         _log.info('Listening.', member=self.peers.member)
 
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -59,7 +59,7 @@
         options: options_module.Options,
         role: states.Role,
         settings: distribution.Distribution,
-        vm_client: vms.Vms,
+        vm_client: vms.VmListClient,
         handler: Handler,
     ) -> None:
         self._options = options
@@ -73,7 +73,7 @@
             collections.abc.Callable[[], None]
         ] = []
         self._system_vms: dict[str, vms.Vm] = {}
-        self.incarnation = clock.incarnation()
+        self.incarnation = clock.random_incarnation()
         self.member = member_id(role, options)
         self.membership = membership.Membership(self._silence_timeout())
         self.standing = states.Standing.LIVE
@@ -95,12 +95,13 @@
         for address in self._options.peers:
             self._connect(address)
         interval = self.interval
-        task_group.keep(
-            'heartbeats', lambda: tasks.every(interval, self._send_heartbeats)
+        task_group.run_forever(
+            'heartbeats',
+            lambda: tasks.run_periodically(interval, self._send_heartbeats),
         )
         poll = self._options.vms_poll
-        task_group.keep(
-            'vms', lambda: tasks.every(lambda: poll, self._read_vms)
+        task_group.run_forever(
+            'vms', lambda: tasks.run_periodically(lambda: poll, self._read_vms)
         )
 
     def close(self) -> None:
@@ -173,7 +174,7 @@
         vm_list = await self._vms.read()
         if isinstance(vm_list, errors.Failure):
             return
-        system_vms = [vm for vm in vm_list.vms if vm.group == vms.SYSTEM]
+        system_vms = [vm for vm in vm_list.vms if vm.group == vms.SYSTEM_GROUP]
         self.membership.record_vm_list(
             (vm.address for vm in system_vms if vm.state == 'live'),
             (vm.address for vm in system_vms if vm.state != 'live'),
--- a/galenahatch/plainservices.py
+++ b/galenahatch/plainservices.py
@@ -241,7 +241,7 @@
     return service_client.Call(
         request.method,
         path,
-        service_client.forwarded(request.headers),
+        service_client.forwardable_headers(request.headers),
         body,
     )
 
