--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -123,10 +123,10 @@
         self._prefill_engine = engines.prefill
         self._decode_engine = engines.decode
         self._arrived_at = arrived_at
-        once = model_request.headers.non_idempotent
+        is_non_idempotent = model_request.headers.non_idempotent
         self._client = (
             context.non_idempotent_session
-            if once
+            if is_non_idempotent
             else context.idempotent_session
         )
         # Engines that may hold memory for the attempt.
@@ -199,8 +199,8 @@
             stream = await engine_client.decode(self._client, url, call)
             if not isinstance(stream, errors.Failure):
                 return stream
-            refused = stream.reason is errors.UPSTREAM_REFUSED
-            if not refused or clock.now() > retry_until:
+            is_refused = stream.reason is errors.UPSTREAM_REFUSED
+            if not is_refused or clock.now() > retry_until:
                 if stream.reason in _NOT_STARTED:
                     self._engines_in_use.discard(self._decode_engine.name)
                 return self._record_engine_failure(self._decode_engine, stream)
@@ -266,9 +266,11 @@
             if verdict is assembly.Verdict.END:
                 return None
             if verdict is assembly.Verdict.BROKEN:
-                return errors.Failure(errors.BAD_UPSTREAM, 'bad event')
+                return errors.Failure(errors.BAD_UPSTREAM, 'malformed event')
             if verdict is assembly.Verdict.GAP:
-                return errors.Failure(errors.STREAM_BROKEN, 'gap')
+                return errors.Failure(
+                    errors.STREAM_BROKEN, 'gap between token offsets'
+                )
 
     def _assemble(self, events: list[engine_client.Event]) -> assembly.Verdict:
         """Assemble events; return the first verdict that stops reading."""
--- a/galenahatch/cancelling.py
+++ b/galenahatch/cancelling.py
@@ -47,18 +47,18 @@
     Args:
         client: HTTP session for engines.
         find_engine: looks up a configured engine by name.
-        task_group: runs the background tasks.
+        background_tasks: runs the cancellations.
     """
 
     def __init__(
         self,
         client: aiohttp.ClientSession,
         find_engine: FindEngine,
-        task_group: tasks.Tasks,
+        background_tasks: tasks.Tasks,
     ) -> None:
         self._client = client
         self._find_engine = find_engine
-        self._tasks = task_group
+        self._tasks = background_tasks
         self._pending: set[ids.StreamId] = set()
 
     @property
--- a/galenahatch/claimclient.py
+++ b/galenahatch/claimclient.py
@@ -73,7 +73,7 @@
     Args:
         peers: links to the schedulers.
         object_store: client of the object store, for large answers.
-        task_group: runs the background tasks.
+        background_tasks: runs removals and stores of answers.
         timeout: seconds after which a claim counts as unconfirmed.
     """
 
@@ -81,12 +81,12 @@
         self,
         peers: peers_module.Peers,
         object_store: objects.Objects,
-        task_group: tasks.Tasks,
+        background_tasks: tasks.Tasks,
         timeout: float,
     ) -> None:
         self._peers = peers
         self._objects = object_store
-        self._tasks = task_group
+        self._tasks = background_tasks
         self._timeout = timeout
         self._tokens = claim.ClaimTokens()
         self._replies: dict[ids.ClaimToken, asyncio.Future[Reply]] = {}
@@ -135,10 +135,10 @@
                 return await self._resolve_existing(reply, fingerprint)
         self.abandon(claimed)
         # Only a successful read of the table proves that the key never ran.
-        absent = reply is not None and (
+        is_absent = reply is not None and (
             reply.status is states.ClaimStatus.ABSENT
         )
-        reason = errors.CLAIM_UNCONFIRMED if absent else errors.CLAIM_UNREAD
+        reason = errors.CLAIM_UNCONFIRMED if is_absent else errors.CLAIM_UNREAD
         return errors.Failure(reason, retry_after=_RETRY_AFTER_S)
 
     def try_dispatch(self, claimed: Claimed) -> bool:
@@ -171,9 +171,9 @@
         elif isinstance(message, messages.ClaimAnswer):
             self._handle_claim_answer(message)
         elif isinstance(message, Reply):
-            future = self._replies.get(message.token)
-            if future is not None and not future.done():
-                future.set_result(message)
+            reply_future = self._replies.get(message.token)
+            if reply_future is not None and not reply_future.done():
+                reply_future.set_result(message)
 
     def _handle_claim_answer(self, message: messages.ClaimAnswer) -> None:
         """Handle an answer about a claim from its holder or a scheduler.
@@ -195,19 +195,19 @@
         message: messages.ClaimRequest
         | messages.ClaimVoid
         | messages.ClaimDone,
-        seconds: float,
+        timeout: float,
     ) -> Reply | None:
         """Send an operation to its writer; return None on a timeout."""
         writer = self._writer(key)
         if writer is None or not self._peers.send(writer, message):
             return None
-        future: asyncio.Future[Reply]
-        future = asyncio.get_running_loop().create_future()
-        self._replies[message.token] = future
+        reply_future: asyncio.Future[Reply]
+        reply_future = asyncio.get_running_loop().create_future()
+        self._replies[message.token] = reply_future
         try:
             with contextlib.suppress(asyncio.TimeoutError):
-                async with asyncio.timeout(seconds):
-                    return await future
+                async with asyncio.timeout(timeout):
+                    return await reply_future
             return None
         finally:
             self._replies.pop(message.token, None)
@@ -284,7 +284,7 @@
         state = await self._holder_state(reply.key, record)
         if isinstance(state, claim.Answer):
             return state
-        _log.info('Key is taken.', key=reply.key, state=state.value)
+        _log.info('Key is already claimed.', key=reply.key, state=state.value)
         return _existing_claim_failure(state)
 
     async def _load_stored_answer(
@@ -294,7 +294,7 @@
             return record.answer
         body = await self._objects.get(record.object_key)
         if isinstance(body, errors.Failure):
-            detail = 'the stored answer can not be read now'
+            detail = 'the stored answer cannot be read now'
             return errors.Failure(errors.STORE_UNAVAILABLE, detail, 2.0)
         return _decode_answer(body)
 
@@ -325,15 +325,15 @@
             requester=self._peers.member,
             record=claim.encode(record),
         )
-        future = self._queries.get(record.token)
-        if future is None:
-            future = asyncio.get_running_loop().create_future()
-            self._queries[record.token] = future
+        reply_future = self._queries.get(record.token)
+        if reply_future is None:
+            reply_future = asyncio.get_running_loop().create_future()
+            self._queries[record.token] = reply_future
         self._peers.broadcast(query)
         try:
             with contextlib.suppress(asyncio.TimeoutError):
                 async with asyncio.timeout(_HOLDER_TIMEOUT_S):
-                    return await asyncio.shield(future)
+                    return await asyncio.shield(reply_future)
             return None
         finally:
             self._queries.pop(record.token, None)
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -68,9 +68,9 @@
         self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
         self.peers.on_heartbeat(self._update_readiness)
         self.join()
-        pause = options.lease / _RENEWALS_PER_LEASE
+        interval = options.lease / _RENEWALS_PER_LEASE
         self.tasks.keep(
-            'lease', lambda: tasks.every(lambda: pause, self._renew)
+            'lease', lambda: tasks.every(lambda: interval, self._renew)
         )
         self.tasks.keep(
             'orders',
@@ -114,10 +114,10 @@
             return
         sent_at = clock.now()
         data = msgspec.msgpack.encode(proposal)
-        done = await self.table.commit(
+        result = await self.table.commit(
             _compare_and_swap(self._stored_lease, data)
         )
-        if isinstance(done, transaction.Committed):
+        if isinstance(result, transaction.Committed):
             previous_fencing = self._lease.fencing
             self._lease.record_accepted(proposal, sent_at, clock.now())
             self._stored_lease = data
@@ -147,8 +147,8 @@
         ):
             return
         self._reconciled_revision = self.config.revision
-        pause = len(settings.engines) / MAX_READS_PER_SECOND
-        self._next_read_at = now + max(_RECONCILE_INTERVAL_S, pause)
+        interval = len(settings.engines) / MAX_READS_PER_SECOND
+        self._next_read_at = now + max(_RECONCILE_INTERVAL_S, interval)
         observed = await self._observe(settings.engines)
         desired = orders.desired_orders(settings)
         engines = {engine.name: engine for engine in settings.engines}
@@ -218,7 +218,7 @@
     try:
         return _RECORD_DECODER.decode(data)
     except msgspec.MsgspecError as error:
-        _log.error('Lease is malformed.', detail=str(error))
+        _log.error('Lease record is malformed.', detail=str(error))
         return None
 
 
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -50,7 +50,7 @@
         options: options of the daemon.
         table_client: client of the table.
         object_store: client of the object store.
-        task_group: runs the background tasks.
+        background_tasks: runs the polling task and updates.
     """
 
     def __init__(
@@ -58,12 +58,12 @@
         options: options_module.Options,
         table_client: table.Table,
         object_store: objects.Objects,
-        task_group: tasks.Tasks,
+        background_tasks: tasks.Tasks,
     ) -> None:
         self._options = options
         self._table = table_client
         self._objects = object_store
-        self._tasks = task_group
+        self._tasks = background_tasks
         self.active = revision_module.ActiveConfiguration()
         self._listeners: list[Listener] = []
         self._request: Requester | None = None
@@ -127,10 +127,10 @@
         )
 
     def record_peer_revision(
-        self, member: ids.MemberId, seen: ids.Revision
+        self, member: ids.MemberId, revision: ids.Revision
     ) -> None:
         """Request a peer's configuration if its revision is newer."""
-        if seen <= self.revision or self._request is None:
+        if revision <= self.revision or self._request is None:
             return
         self._request(member, messages.ConfigRequest(self.revision))
 
@@ -138,7 +138,10 @@
         """Apply a configuration received from a peer."""
         accepted = revision_module.decode_accepted(message.body)
         if isinstance(accepted, errors.Failure):
-            _log.warning('Configuration dropped.', detail=accepted.detail)
+            _log.warning(
+                'Malformed configuration from a peer rejected.',
+                detail=accepted.detail,
+            )
             return
         self._tasks.once(self._apply(accepted, 'peer'))
 
@@ -151,7 +154,7 @@
             return
         head = revision_module.decode_head(data)
         if isinstance(head, errors.Failure):
-            _log.error('Head is malformed.', detail=head.detail)
+            _log.error('Configuration head is malformed.', detail=head.detail)
             return
         if head.revision > self.revision:
             await self._fetch_body(head)
@@ -159,11 +162,16 @@
     async def _fetch_body(self, head: revision_module.Head) -> None:
         body = await self._objects.get(revision_module.body_key(head.digest))
         if isinstance(body, errors.Failure):
-            _log.warning('Body not read.', reason=body.reason.name)
+            _log.warning(
+                'Configuration body could not be read.',
+                reason=body.reason.name,
+            )
             return
         bundle = revision_module.decode_bundle(body, head.digest)
         if isinstance(bundle, errors.Failure):
-            _log.error('Body is malformed.', detail=bundle.detail)
+            _log.error(
+                'Configuration body is malformed.', detail=bundle.detail
+            )
             return
         await self._apply(revision_module.Accepted(head, bundle), 'table')
 
--- a/galenahatch/entry.py
+++ b/galenahatch/entry.py
@@ -39,7 +39,7 @@
 from galenahatch import states
 from galenahatch.upstream import http
 
-_BODY_SECONDS: typing.Final = 30.0
+_BODY_TIMEOUT_S: typing.Final = 30.0
 _DRAIN_POLL_S: typing.Final = 0.05
 _POLLS_PER_DRAIN_LOG: typing.Final = 100
 _log = logs.Log('entry')
@@ -51,7 +51,7 @@
     def __init__(self, options: options_module.Options) -> None:
         super().__init__(options)
         self._retry_budgets: dict[ids.ServiceName, retry.RetryBudget] = {}
-        self._leaving = leaving_module.LeavingUpstreams()
+        self._leaving_upstreams = leaving_module.LeavingUpstreams()
 
     async def start(self) -> None:
         """Open sockets and start tasks."""
@@ -74,7 +74,7 @@
             self.engines,
             self._non_idempotent_session,
             self._claims,
-            self._leaving,
+            self._leaving_upstreams,
         )
         self._serving = serving.Serving(
             self.config,
@@ -93,7 +93,7 @@
         """Serve until the load balancer stops sending requests, then drain."""
         application.ignore_signals(_log)
         self.peers.standing = states.Standing.LEAVING
-        _log.info('Leaving.', in_flight=self._serving.in_flight)
+        _log.info('Planned stop began.', in_flight=self._serving.in_flight)
         await asyncio.sleep(self.options.look_away)
         self._serving.draining = True
         await self._drain()
@@ -111,7 +111,7 @@
         ):
             if poll_count % _POLLS_PER_DRAIN_LOG == 0:
                 _log.info(
-                    'Waiting.',
+                    'Waiting for pending work before the stop.',
                     in_flight=self._serving.in_flight,
                     claims=self._claims.unsettled_count,
                     cancels=self._canceller.pending_count,
@@ -157,14 +157,14 @@
 
     def _apply_configuration(self) -> None:
         self._placement.apply_configuration()
-        self._leaving.record_configuration(
+        self._leaving_upstreams.record_configuration(
             self.config.revision, self.config.drained_upstreams()
         )
 
-    def _apply_vm_list(self, listed: vms.VmList) -> None:
-        self._leaving.record_vm_list(
-            listed.version,
-            (vm.address for vm in listed.vms if vm.state != 'live'),
+    def _apply_vm_list(self, vm_list: vms.VmList) -> None:
+        self._leaving_upstreams.record_vm_list(
+            vm_list.version,
+            (vm.address for vm in vm_list.vms if vm.state != 'live'),
         )
 
     def _update_heartbeat(self) -> None:
--- a/galenahatch/execution.py
+++ b/galenahatch/execution.py
@@ -158,8 +158,8 @@
 
     # A single attempt.
 
-    async def _run_attempt(self, number: int) -> errors.Failure | None:
-        request = self._build_place_request(number)
+    async def _run_attempt(self, attempt_number: int) -> errors.Failure | None:
+        request = self._build_place_request(attempt_number)
         if request.first_token_timeout <= 0:
             return errors.Failure(errors.NO_TIME, retry_after=1.0)
         placed = await self._context.placement.place(request)
@@ -202,7 +202,9 @@
             self._avoided_engines.append(attempt.failed_engine)
         return failure
 
-    def _build_place_request(self, number: int) -> messages.PlaceRequest:
+    def _build_place_request(
+        self, attempt_number: int
+    ) -> messages.PlaceRequest:
         model_request = self._model_request
         elapsed = clock.now() - self._arrived_at
         timeout = (
@@ -212,7 +214,9 @@
         )
         return messages.PlaceRequest(
             request=model_request.headers.request,
-            stream=ids.StreamId(f'{model_request.headers.request}.{number}'),
+            stream=ids.StreamId(
+                f'{model_request.headers.request}.{attempt_number}'
+            ),
             entry=self._context.member,
             service=model_request.service.name,
             site=self._context.current_site(),
--- a/galenahatch/inbound.py
+++ b/galenahatch/inbound.py
@@ -117,7 +117,7 @@
     key = headers.get(IDEMPOTENCY_KEY, '')
     if len(key) > _MAX_KEY_LENGTH or not key.isprintable():
         return _bad_header_failure(
-            IDEMPOTENCY_KEY, 'at most 200 printable letters'
+            IDEMPOTENCY_KEY, 'at most 200 printable characters'
         )
     flag = headers.get(NON_IDEMPOTENT, 'false').lower()
     if flag not in ('true', 'false'):
--- a/galenahatch/orphans.py
+++ b/galenahatch/orphans.py
@@ -134,10 +134,10 @@
 
     def _is_confirmed_alive(self, entry: ids.MemberId, now: float) -> bool:
         """Return whether another scheduler recently heard from an entry."""
-        at = self._confirmed_alive_at.get(entry)
+        confirmed_at = self._confirmed_alive_at.get(entry)
         return (
-            at is not None
-            and now - at <= self._peers.membership.silence_timeout
+            confirmed_at is not None
+            and now - confirmed_at <= self._peers.membership.silence_timeout
         )
 
     def _query_schedulers(self, entry: ids.MemberId) -> bool:
@@ -153,7 +153,10 @@
         orphans = self._watch.confirm_gone(entry)
         self._confirmed_alive_at.pop(entry, None)
         _log.warning(
-            'Entry is gone.', entry=entry, why=why, streams=len(orphans)
+            'Entry is gone; cancelling its streams.',
+            entry=entry,
+            why=why,
+            streams=len(orphans),
         )
         self._cancel(entry, orphans, 'entry_gone')
         self._on_entry_gone(entry)
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -90,16 +90,16 @@
         """Register a callback for each round of heartbeats."""
         self._heartbeat_listeners.append(listener)
 
-    def start(self, task_group: tasks.Tasks) -> None:
+    def start(self, background_tasks: tasks.Tasks) -> None:
         """Connect to the configured peers and start the tasks."""
         for address in self._options.peers:
             self._connect(address)
         interval = self.interval
-        task_group.keep(
+        background_tasks.keep(
             'heartbeats', lambda: tasks.every(interval, self._send_heartbeats)
         )
         poll = self._options.vms_poll
-        task_group.keep(
+        background_tasks.keep(
             'vms', lambda: tasks.every(lambda: poll, self._read_vms)
         )
 
@@ -150,7 +150,7 @@
         is_new = self.membership.record_heartbeat(heartbeat, now)
         if is_new and heartbeat.member != self.member:
             _log.info(
-                'Member seen.',
+                'New member or incarnation observed.',
                 member=heartbeat.member,
                 incarnation=heartbeat.incarnation,
             )
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -101,10 +101,10 @@
 
     def engine_loads(self) -> tuple[messages.EngineLoad, ...]:
         """Return the load of the engines of all cells."""
-        plan = []
+        loads = []
         for cell in self._cells.values():
             for prefill in cell.prefills:
-                plan.append(
+                loads.append(
                     messages.EngineLoad(
                         prefill.name,
                         cell.service.name,
@@ -117,7 +117,7 @@
                     )
                 )
             for decode in cell.decodes:
-                plan.append(
+                loads.append(
                     messages.EngineLoad(
                         decode.name,
                         cell.service.name,
@@ -129,7 +129,7 @@
                         decode.seconds_per_token,
                     )
                 )
-        return tuple(plan)
+        return tuple(loads)
 
     async def run(self) -> None:
         """Handle events and decide until cancelled."""
@@ -307,22 +307,30 @@
         for cell_id, cell in list(self._cells.items()):
             if cell_id not in event.owned:
                 cell.expect_no_load_reports()
-            plan = event.cell_configs.get(cell_id)
-            if plan is not None:
+            cell_config = event.cell_configs.get(cell_id)
+            if cell_config is not None:
                 cell.configure(
-                    plan.service, plan.engines, plan.allowed_by_site
+                    cell_config.service,
+                    cell_config.engines,
+                    cell_config.allowed_by_site,
                 )
                 cell.set_leaving(self._leaving)
             elif not cell.queue_length and not cell.active_reservations:
                 del self._cells[cell_id]
 
-    def _ensure_cell(self, plan: cells_module.CellConfig) -> cell_module.Cell:
-        cell = self._cells.get(plan.cell)
+    def _ensure_cell(
+        self, cell_config: cells_module.CellConfig
+    ) -> cell_module.Cell:
+        cell = self._cells.get(cell_config.cell)
         if cell is None:
             random_source = random.Random(clock.incarnation())
-            cell = cell_module.Cell(plan.service, random_source)
-            self._cells[plan.cell] = cell
-        cell.configure(plan.service, plan.engines, plan.allowed_by_site)
+            cell = cell_module.Cell(cell_config.service, random_source)
+            self._cells[cell_config.cell] = cell
+        cell.configure(
+            cell_config.service,
+            cell_config.engines,
+            cell_config.allowed_by_site,
+        )
         cell.set_leaving(self._leaving)
         return cell
 
@@ -355,7 +363,7 @@
             for stream in cell.expire(now):
                 self._cell_by_stream.pop(stream, None)
                 metrics.places_reserved.add(-1)
-                _log.warning('Reservation lapsed.', stream=stream)
+                _log.warning('Reservation expired.', stream=stream)
             for decision in cell.decide(now):
                 self._announce(decision)
         metrics.waiting.add(self.waiting - self._reported_waiting)
@@ -386,7 +394,7 @@
             self._cell_by_stream.pop(answer.stream, None)
             metrics.given_up.add(1, {'reason': answer.reason})
             _log.info(
-                'Request given up.',
+                'Placement refused.',
                 request=request.request,
                 stream=answer.stream,
                 reason=answer.reason,
@@ -398,14 +406,14 @@
             send(answer)
 
     def _held_attempt(
-        self, request: messages.PlaceRequest, on_placed: messages.Placed
+        self, request: messages.PlaceRequest, placed: messages.Placed
     ) -> messages.Held:
         return messages.Held(
-            stream=on_placed.stream,
-            cell=self._cell_by_stream[on_placed.stream],
+            stream=placed.stream,
+            cell=self._cell_by_stream[placed.stream],
             service=request.service,
-            prefill=on_placed.prefill,
-            decode=on_placed.decode,
+            prefill=placed.prefill,
+            decode=placed.decode,
             stage=states.Stage.PREFILL,
             prompt_tokens=request.prompt_tokens,
             output_tokens=request.output_tokens,
--- a/galenahatch/placementclient.py
+++ b/galenahatch/placementclient.py
@@ -81,19 +81,21 @@
         """Compute the cells of a new configuration."""
         region = self._config.region_of(self._data_centre)
         if region is not None:
-            plans = cells.cell_configs(self._config.sites, region)
-            self._cells = frozenset(plans)
+            cell_configs = cells.cell_configs(self._config.sites, region)
+            self._cells = frozenset(cell_configs)
 
     async def place(
         self, request: messages.PlaceRequest
     ) -> messages.Placed | errors.Failure:
         """Request the engines for an attempt; return a failure if refused."""
         give_up_at = clock.now() + request.first_token_timeout
-        future: asyncio.Future[messages.Placed | messages.GivenUp]
-        future = asyncio.get_running_loop().create_future()
-        self._pending[request.stream] = future
+        reply_future: asyncio.Future[messages.Placed | messages.GivenUp]
+        reply_future = asyncio.get_running_loop().create_future()
+        self._pending[request.stream] = reply_future
         try:
-            return await self._send_until_answered(request, future, give_up_at)
+            return await self._send_until_answered(
+                request, reply_future, give_up_at
+            )
         except asyncio.CancelledError:
             self.release(messages.Release(request.stream, note='withdrawn'))
             raise
@@ -103,7 +105,7 @@
     async def _send_until_answered(
         self,
         request: messages.PlaceRequest,
-        future: asyncio.Future[messages.Placed | messages.GivenUp],
+        reply_future: asyncio.Future[messages.Placed | messages.GivenUp],
         give_up_at: float,
     ) -> messages.Placed | errors.Failure:
         while True:
@@ -127,7 +129,9 @@
             # the whole interval leaves time for the reply to arrive.
             with contextlib.suppress(asyncio.TimeoutError):
                 async with asyncio.timeout(_RESEND_INTERVAL_S):
-                    return self._apply_reply(await asyncio.shield(future))
+                    return self._apply_reply(
+                        await asyncio.shield(reply_future)
+                    )
 
     def _apply_reply(
         self, answer: messages.Placed | messages.GivenUp
@@ -142,9 +146,9 @@
 
     def handle_reply(self, answer: messages.Placed | messages.GivenUp) -> None:
         """Handle an owner's reply."""
-        future = self._pending.get(answer.stream)
-        if future is not None and not future.done():
-            future.set_result(answer)
+        reply_future = self._pending.get(answer.stream)
+        if reply_future is not None and not reply_future.done():
+            reply_future.set_result(answer)
         elif answer.stream not in self._held:
             if isinstance(answer, messages.Placed):
                 release = messages.Release(answer.stream, note='late answer')
@@ -206,11 +210,11 @@
         changed = self._reassign(live)
         for member in live:
             incarnation = self._peers.membership.incarnation_of(member)
-            reported_incarnation, at = self._last_reports.get(
+            reported_incarnation, reported_at = self._last_reports.get(
                 member, (None, -REPORT_INTERVAL_S)
             )
             due = (
-                now - at >= REPORT_INTERVAL_S
+                now - reported_at >= REPORT_INTERVAL_S
                 or reported_incarnation != incarnation
             )
             if due or member in changed:
--- a/galenahatch/plainservices.py
+++ b/galenahatch/plainservices.py
@@ -64,7 +64,7 @@
         self._idempotent_session = idempotent_session
         self._non_idempotent_session = non_idempotent_session
         self._claims = claim_client
-        self._leaving = leaving
+        self._leaving_upstreams = leaving
 
     async def serve(
         self,
@@ -103,7 +103,9 @@
         if isinstance(claimed, errors.Failure):
             return answers.failure_response(claimed, headers.request)
         if isinstance(claimed, claim.Answer):
-            _log.info('Answer repeated.', request=headers.request, key=key)
+            _log.info(
+                'Stored answer returned.', request=headers.request, key=key
+            )
             return answers.build_response(claimed, headers.request)
         # The call continues when its caller disconnects: the stored answer
         # serves a retry, and the call holds no engine.
@@ -211,7 +213,7 @@
         return [
             url
             for url in service.upstreams
-            if not self._leaving.is_url_leaving(
+            if not self._leaving_upstreams.is_url_leaving(
                 url, parse.urlsplit(url).hostname or ''
             )
         ]
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -48,7 +48,7 @@
     ) -> None:
         self._client = client
         self._on_report = on_report
-        self._leaving = leaving
+        self._leaving_upstreams = leaving
         self._last_event_numbers: dict[ids.EngineName, int] = {}
         self._incarnations: dict[ids.EngineName, int] = {}
         self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
@@ -73,7 +73,7 @@
             self._last_event_numbers[engine.name] = -1
         if load.events:
             self._last_event_numbers[engine.name] = load.events[-1].number
-        self._leaving.record_report(
+        self._leaving_upstreams.record_report(
             engine.name, load.incarnation, load.sequence, load.leaving
         )
         self._on_report(placementevents.EngineReport(engine.name, load))
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -44,7 +44,7 @@
 from galenahatch import tasks
 from galenahatch import trail
 
-_STOP_LOOK: typing.Final = 0.1
+_STOP_POLL_S: typing.Final = 0.1
 _HANDOVER_HEARTBEATS: typing.Final = 3
 _log = logs.Log('scheduler')
 
@@ -55,7 +55,7 @@
     def __init__(self, options: options_module.Options) -> None:
         super().__init__(options)
         self._peer_by_member: dict[ids.MemberId, bus.Peer] = {}
-        self._leaving = leaving_module.LeavingUpstreams()
+        self._leaving_upstreams = leaving_module.LeavingUpstreams()
         self._trail = trail.Trail()
         self._cell_configs: dict[ids.CellId, cells.CellConfig] = {}
         self._cells_revision = ids.Revision(0)
@@ -78,7 +78,7 @@
             self.peers, self._canceller, self._remove_entry
         )
         self._load_poller = probes_module.LoadPoller(
-            self.engines, self._placement.put, self._leaving
+            self.engines, self._placement.put, self._leaving_upstreams
         )
         await self._open_sockets()
         self._start_tasks()
@@ -89,11 +89,11 @@
         application.ignore_signals(_log)
         self.peers.standing = states.Standing.LEAVING
         self.peers.not_ready_reason = 'leaving'
-        _log.info('Leaving.', waiting=self._placement.waiting)
-        heartbeat_count = 0
-        while heartbeat_count < _HANDOVER_HEARTBEATS or self._busy():
+        _log.info('Planned stop began.', waiting=self._placement.waiting)
+        sent_heartbeats = 0
+        while sent_heartbeats < _HANDOVER_HEARTBEATS or self._busy():
             self._broadcast(self.peers.heartbeat())
-            heartbeat_count += 1
+            sent_heartbeats += 1
             await asyncio.sleep(self.peers.interval())
         await self.close()
         self._hub.close()
@@ -253,7 +253,7 @@
     # State changes.
 
     def _apply_vm_list(self, vm_list: vms.VmList) -> None:
-        self._leaving.record_vm_list(
+        self._leaving_upstreams.record_vm_list(
             vm_list.version,
             (vm.address for vm in vm_list.vms if vm.state != 'live'),
         )
@@ -261,12 +261,14 @@
 
     def _refresh_placement(self) -> None:
         """Update the placement's owned cells and leaving engines."""
-        self._leaving.record_configuration(
+        self._leaving_upstreams.record_configuration(
             self.config.revision, self.config.drained_upstreams()
         )
         self.peers.not_ready_reason = self._not_ready_reason()
         self.peers.load = self._placement.waiting
-        leaving = self._leaving.leaving_engines(self._declared_engines())
+        leaving = self._leaving_upstreams.leaving_engines(
+            self._declared_engines()
+        )
         owned = frozenset(self._owned_cells())
         refresh = placementevents.OwnershipUpdate(
             self._cells_revision, self._cell_configs, owned, leaving
--- a/galenahatch/serving.py
+++ b/galenahatch/serving.py
@@ -39,7 +39,7 @@
 from galenahatch import plainservices
 from galenahatch import schema
 
-_BODY_SECONDS: typing.Final = 30.0
+_BODY_TIMEOUT_S: typing.Final = 30.0
 _log = logs.Log('serving')
 
 
@@ -209,7 +209,9 @@
         if isinstance(claimed, errors.Failure):
             return self._failure_response(claimed, headers.request)
         if isinstance(claimed, claim.Answer):
-            _log.info('Answer repeated.', request=headers.request, key=key)
+            _log.info(
+                'Stored answer returned.', request=headers.request, key=key
+            )
             return await _replay(request, model_request, claimed)
         return await self._run(request, model_request, claimed)
 
@@ -317,7 +319,7 @@
 
 async def _read_body(request: web.Request) -> bytes | errors.Failure:
     try:
-        async with asyncio.timeout(_BODY_SECONDS):
+        async with asyncio.timeout(_BODY_TIMEOUT_S):
             return await request.read()
     except asyncio.TimeoutError:
         return errors.Failure(errors.BODY_TIMEOUT)
