--- a/galenahatch/attempt.py
+++ b/galenahatch/attempt.py
@@ -155,7 +155,7 @@
         return await self._read_stream(stream)
 
     async def _prefill(self) -> errors.Failure | None:
-        call = engine_client.PrefillCall(
+        call = engine_client.PrefillRequest(
             stream=self._stream,
             prompt=self._model_request.prompt,
             generated=tuple(self._assembler.tokens),
@@ -186,7 +186,7 @@
         self,
     ) -> engine_client.Stream | errors.Failure:
         """Start decoding; retry refusals until the prefill is evicted."""
-        call = engine_client.DecodeCall(
+        call = engine_client.DecodeRequest(
             stream=self._stream,
             source=cancelling.url_of(self._prefill_engine),
             max_tokens=self._model_request.max_tokens,
--- a/galenahatch/claimwriter.py
+++ b/galenahatch/claimwriter.py
@@ -24,7 +24,7 @@
 import dataclasses
 import typing
 
-from galenahatch.core import claimwrites
+from galenahatch.core import claimoperations
 from galenahatch.core import transaction
 from galenahatch import errors
 from galenahatch import ids
@@ -45,7 +45,7 @@
 class PendingOperation:
     """An operation on a key and the callback that sends its reply."""
 
-    operation: claimwrites.Operation
+    operation: claimoperations.Operation
     send: Send
 
 
@@ -70,7 +70,7 @@
         """Number of operations that are not answered yet."""
         return self._unanswered_count
 
-    def submit(self, operation: claimwrites.Operation, send: Send) -> None:
+    def submit(self, operation: claimoperations.Operation, send: Send) -> None:
         """Queue an operation."""
         self._unanswered_count += 1
         self._queue.put_nowait(PendingOperation(operation, send))
@@ -113,7 +113,7 @@
         for _ in range(_MAX_COMMIT_ATTEMPTS):
             if not pending:
                 return
-            operations_transaction = claimwrites.build_transaction(
+            operations_transaction = claimoperations.build_transaction(
                 [
                     pending_operation.operation
                     for pending_operation in pending.values()
@@ -130,7 +130,7 @@
                 for pending_operation in pending.values():
                     self._answer(
                         pending_operation,
-                        claimwrites.committed_reply(
+                        claimoperations.committed_reply(
                             pending_operation.operation
                         ),
                     )
@@ -144,12 +144,12 @@
     ) -> None:
         for name, value in current.items():
             pending_operation = pending.pop(
-                claimwrites.claim_key_from(name), None
+                claimoperations.claim_key_from(name), None
             )
             if pending_operation is not None:
                 self._answer(
                     pending_operation,
-                    claimwrites.conflict_reply(
+                    claimoperations.conflict_reply(
                         pending_operation.operation, value
                     ),
                 )
@@ -158,19 +158,23 @@
         self, pending: dict[ids.ClaimKey, PendingOperation]
     ) -> None:
         """Answer from the stored values if the table can be read."""
-        names = [claimwrites.table_key(key) for key in pending]
+        names = [claimoperations.table_key(key) for key in pending]
         values = await self._table.read(names)
         for key, pending_operation in pending.items():
             if isinstance(values, errors.Failure):
                 self._answer(
                     pending_operation,
-                    claimwrites.unconfirmed_reply(pending_operation.operation),
+                    claimoperations.unconfirmed_reply(
+                        pending_operation.operation
+                    ),
                 )
                 continue
-            value = values.get(claimwrites.table_key(key))
+            value = values.get(claimoperations.table_key(key))
             self._answer(
                 pending_operation,
-                claimwrites.readback_reply(pending_operation.operation, value),
+                claimoperations.readback_reply(
+                    pending_operation.operation, value
+                ),
             )
 
     def _answer(
--- a/galenahatch/gateway/directory.py
+++ b/galenahatch/gateway/directory.py
@@ -115,9 +115,9 @@
 
     def run(self) -> None:
         """Start following the store."""
-        self._tasks.keep('config feed', self._config_feed.run)
-        self._tasks.keep('upstream feed', self._upstream_feed.run)
-        self._tasks.keep('restores', self.entries.run)
+        self._tasks.run_forever('config feed', self._config_feed.run)
+        self._tasks.run_forever('upstream feed', self._upstream_feed.run)
+        self._tasks.run_forever('restores', self.entries.run)
 
     @property
     def reaches_store(self) -> bool:
@@ -206,7 +206,7 @@
                 self._apply_document(row.value, 'store')
 
     def _apply_document(self, document: bytes, source: str) -> None:
-        config = documents.configuration(document)
+        config = documents.decode_configuration(document)
         if isinstance(config, errors.Failure):
             _log.error(
                 'Ignored an invalid configuration.',
--- a/galenahatch/gateway/mesh.py
+++ b/galenahatch/gateway/mesh.py
@@ -113,7 +113,7 @@
         self._notices = exchanges.notices
         self._handler = handler
         self._tasks = background
-        self._incarnation = clock.incarnation()
+        self._incarnation = clock.random_incarnation()
         self._roster = rosters.Roster(
             store,
             directory.outage,
@@ -127,7 +127,7 @@
         self._links: dict[ids.MemberId, bus.Link[frames.AnyMessage]] = {}
         self._peers: dict[ids.MemberId, bus.Peer] = {}
         self._member_ids: dict[bus.Peer, ids.MemberId] = {}
-        self._update_requester = updates.UpdateRequester(directory)
+        self._updates = updates.UpdateRequester(directory)
         self._started_at = clock.now()
         self._owner = ids.MemberId('')
         self.me = ids.MemberId(address)
@@ -138,7 +138,7 @@
         self.figures: collections.abc.Callable[
             [], tuple[records.Figures, ...]
         ] = tuple
-        self._hub = bus.Hub(f'tcp://{address}:{port}', CODEC, self._from_hub)
+        self._hub = bus.Hub(f'tcp://{address}:{port}', CODEC, self._on_hub)
         self._connect_exchanges()
 
     def _connect_exchanges(self) -> None:
@@ -157,11 +157,11 @@
 
     def run(self) -> None:
         """Join, and start to exchange heartbeats."""
-        self._tasks.keep('join', self._roster.join)
-        self._tasks.keep('member feed', self._roster.feed.run)
-        self._tasks.keep('listening', self._watch_event_loop)
-        self._tasks.keep('beats', self._send_heartbeats)
-        self._tasks.keep(
+        self._tasks.run_forever('join', self._roster.join)
+        self._tasks.run_forever('member feed', self._roster.feed.run)
+        self._tasks.run_forever('listening', self._watch_event_loop)
+        self._tasks.run_forever('beats', self._send_heartbeats)
+        self._tasks.run_forever(
             'quarantine',
             lambda: self._guard.run(lambda: self._owner == self.me),
         )
@@ -208,11 +208,11 @@
         return name
 
     async def _watch_event_loop(self) -> None:
-        suspension = clock.Suspension()
+        suspension = clock.SuspensionDetector()
         while True:
-            suspended_s = suspension.look()
+            suspended_s = suspension.poll()
             if suspended_s:
-                limits = timeouts.catch_up(suspended_s)
+                limits = timeouts.deduct_suspension(suspended_s)
                 _log.warning('Suspended.', seconds=suspended_s, limits=limits)
             stalled_s = self._members.record_listen(clock.now())
             if stalled_s:
@@ -302,11 +302,11 @@
             link = self._links[name] = bus.Link(
                 f'tcp://{member.address}:{member.port}',
                 CODEC,
-                lambda message: self._from_link(name, message),
+                lambda message: self._on_link(name, message),
             )
         return link
 
-    def _from_hub(self, peer: bus.Peer, message: frames.AnyMessage) -> None:
+    def _on_hub(self, peer: bus.Peer, message: frames.AnyMessage) -> None:
         if isinstance(message, messages.Heartbeat):
             self._record_peer(message.member, peer)
             self._record_heartbeat(message.member, message)
@@ -345,9 +345,7 @@
         if name is not None:
             self._dispatch(name, message, self.reply)
 
-    def _from_link(
-        self, name: ids.MemberId, message: frames.AnyMessage
-    ) -> None:
+    def _on_link(self, name: ids.MemberId, message: frames.AnyMessage) -> None:
         if isinstance(message, messages.HeartbeatReply):
             self._record_heartbeat(name, message)
             self._members.set_reported_size(message.member_count)
@@ -367,15 +365,13 @@
         name: ids.MemberId,
         heartbeat: messages.Heartbeat | messages.HeartbeatReply,
     ) -> None:
-        """Record the state of a member."""
         order = messages.order_version(heartbeat)
         self._roster.add_versions(order, messages.upstreams_version(heartbeat))
         self._members.record_message(
             name, clock.now(), heartbeat.leaving, heartbeat.incarnation, order
         )
         delivers_changes = (
-            heartbeat.reaches_store
-            and self._update_requester.is_current(heartbeat)
+            heartbeat.reaches_store and self._updates.is_current(heartbeat)
         )
         self._members.set_follows_store(name, delivers_changes)
 
@@ -422,7 +418,7 @@
         self, heartbeat: messages.Heartbeat | messages.HeartbeatReply
     ) -> None:
         """Request newer data from a member that has it."""
-        request = self._update_requester.request_for(heartbeat)
+        request = self._updates.request_for(heartbeat)
         if request is None:
             return
         if isinstance(heartbeat, messages.Heartbeat):
--- a/galenahatch/gateway/owner.py
+++ b/galenahatch/gateway/owner.py
@@ -88,7 +88,7 @@
 
     def start(self, background: tasks.Tasks) -> None:
         """Start the scheduling task."""
-        background.keep('decide', self._decide_forever)
+        background.run_forever('decide', self._decide_forever)
 
     @property
     def dispatchers(
@@ -175,8 +175,8 @@
         now: float,
     ) -> None:
 
-        def reply(word: OwnerReply) -> None:
-            self._deliver(member, word)
+        def reply(message: OwnerReply) -> None:
+            self._deliver(member, message)
 
         dispatcher = self._dispatcher(place.service)
         if dispatcher is None:
--- a/galenahatch/inbound.py
+++ b/galenahatch/inbound.py
@@ -129,10 +129,10 @@
         return deadline
     urgency = None
     if PRIORITY in headers:
-        urgency = schema.urgency(headers[PRIORITY].lower())
+        urgency = schema.urgency_by_name(headers[PRIORITY].lower())
         if urgency is None:
             return _bad_header_failure(PRIORITY, 'urgent, normal or bulk')
-    request = ids.RequestId(f'r{clock.token()[:20]}')
+    request = ids.RequestId(f'r{clock.random_token()[:20]}')
     ticket = headers.get(TICKET, '')
     if len(ticket) > _MAX_KEY_LENGTH:
         return _bad_header_failure(TICKET, 'the ticket of a refusal')
@@ -155,7 +155,7 @@
     scheme, _, token = headers.get('Authorization', '').partition(' ')
     if scheme.lower() != 'bearer' or not token:
         return errors.Failure(errors.UNAUTHORIZED, 'no bearer token')
-    caller = settings.caller_of(token.strip())
+    caller = settings.caller_by_token(token.strip())
     if caller is None:
         return errors.Failure(errors.UNAUTHORIZED, 'unknown token')
     return caller
@@ -227,8 +227,8 @@
     headers: Headers, caller: schema.Caller, service: schema.ModelService
 ) -> states.Urgency:
     """Return the requested class, capped at the caller's highest class."""
-    default = schema.urgency(service.urgency) or states.Urgency.URGENT
-    highest = schema.urgency(caller.urgency) or states.Urgency.URGENT
+    default = schema.urgency_by_name(service.urgency) or states.Urgency.URGENT
+    highest = schema.urgency_by_name(caller.urgency) or states.Urgency.URGENT
     requested = default if headers.urgency is None else headers.urgency
     return max(requested, highest)
 
--- a/galenahatch/placement.py
+++ b/galenahatch/placement.py
@@ -58,7 +58,7 @@
         self,
         settings: distribution.Distribution,
         data_centre: ids.DataCentre,
-        trail_of_decisions: trail.Trail,
+        trail_of_decisions: trail.DecisionTrail,
         on_placed: collections.abc.Callable[
             [ids.MemberId, messages.Held], None
         ],
@@ -323,7 +323,7 @@
     ) -> cell_module.Cell:
         cell = self._cells.get(cell_config.cell)
         if cell is None:
-            random_source = random.Random(clock.incarnation())
+            random_source = random.Random(clock.random_incarnation())
             cell = cell_module.Cell(cell_config.service, random_source)
             self._cells[cell_config.cell] = cell
         cell.configure(
--- a/galenahatch/test/test_restores.py
+++ b/galenahatch/test/test_restores.py
@@ -250,12 +250,12 @@
 )
 def test_era_of_any_header(values: list[str], era: int | None) -> None:
     """What can't be read changes nothing."""
-    assert eras.era(values) == era
-    heard = eras.Eras()
-    heard.hear(['2'])
-    assert heard.hear(values) == (era or 2)
+    assert eras.parse_era(values) == era
+    heard = eras.EraTracker()
+    heard.observe(['2'])
+    assert heard.observe(values) == (era or 2)
     assert heard.newest == (era or 2)
-    assert heard.hear(['1']) == 1, 'late, and known as such'
+    assert heard.observe(['1']) == 1, 'late, and known as such'
     assert heard.newest == (era or 2)
 
 
@@ -313,7 +313,7 @@
         known.add_row(name(member), 1, versions.Version(1, number), 0.0)
         known.record_message(name(member), 0.0, False, incarnation=1)
     known.record_message(name('a'), 0.1, False, incarnation=2)
-    known.record_message(name('b'), 0.1, order=versions.Version(2, 6))
+    known.record_message(name('b'), 0.1, rank=versions.Version(2, 6))
     assert known.by_rank() == ['b', 'c', 'd', 'a']
     for number, member in enumerate('abc', 5):
         known.add_row(name(member), 1, versions.Version(2, number), 0.2)
@@ -324,8 +324,8 @@
         'removed'
     )
     assert known.unlisted_since(0.2) == ['d']
-    known.record_message(name('b'), 0.3, order=versions.Version(1, 90))
-    known.record_message(name('a'), 0.3, order=versions.Version(2, 5))
+    known.record_message(name('b'), 0.3, rank=versions.Version(1, 90))
+    known.record_message(name('a'), 0.3, rank=versions.Version(2, 5))
     assert known.by_rank() == ['a', 'b', 'c', 'd'], 'its own word counts'
     known.add_row(name('d'), 1, versions.Version(2, 8), 0.4)
     assert not known.unlisted_since(9.0)
