--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -70,7 +70,8 @@
         self.start_peer_tasks()
         interval = options.lease / _RENEWALS_PER_LEASE
         self.tasks.run_forever(
-            'lease', lambda: tasks.run_periodically(lambda: interval, self._renew)
+            'lease',
+            lambda: tasks.run_periodically(lambda: interval, self._renew),
         )
         self.tasks.run_forever(
             'orders',
