--- a/galenahatch/upstream/engine.py
+++ b/galenahatch/upstream/engine.py
@@ -12,11 +12,11 @@
 
 """Client of a model engine.
 
-Work is a prefill call, then a decode call that makes the engine import
-the KV cache from the prefill engine and generate. Generated tokens come as
-JSON lines, each with its stream and offset, and end with an end marker.
-The engine keeps a stream when the connection drops: it can be resumed by
-offset, and only a cancel frees its memory.
+A request is a prefill call, then a decode call, in which the decode engine
+imports the KV cache from the prefill engine and generates. Generated tokens
+arrive as JSON lines, each with its stream and offset, and finish with an end
+marker. The engine keeps a stream when the connection drops: the stream can
+be resumed from an offset, and only a cancel frees its memory.
 """
 
 import enum
@@ -31,21 +31,23 @@
 from galenahatch.upstream import http
 
 MAX_LINE_BYTES: typing.Final = 64 * 1024
-_SHORT_SECONDS: typing.Final = 2.0
-_SHORT: typing.Final = aiohttp.ClientTimeout(total=_SHORT_SECONDS)
-_REFUSED: typing.Final = 503
-_EVICTED: typing.Final = 410
-_STALE: typing.Final = 409
+_CONTROL_TIMEOUT_S: typing.Final = 2.0
+_CONTROL_TIMEOUT: typing.Final = aiohttp.ClientTimeout(
+    total=_CONTROL_TIMEOUT_S
+)
+_REFUSED_STATUS: typing.Final = 503
+_EVICTED_STATUS: typing.Final = 410
+_STALE_STATUS: typing.Final = 409
 
 
 class PrefillRequest(msgspec.Struct, frozen=True):
-    """Work for a prefill engine.
+    """Body of a request to a prefill engine.
 
     Attributes:
         stream: id of the attempt.
-        prompt: text.
-        generated: tokens already passed on, to go on after them.
-        priority: 0 is the most urgent.
+        prompt: text of the prompt.
+        generated: tokens already delivered, after which to continue.
+        priority: priority of the request; 0 is the most urgent.
     """
 
     stream: ids.StreamId
@@ -58,8 +60,8 @@
     """Result of a prefill.
 
     Attributes:
-        prompt_tokens: length of the prompt, counted by the engine.
-        cached_tokens: of these, found in its cache.
+        prompt_tokens: length of the prompt in tokens, as the engine counts.
+        cached_tokens: prompt tokens found in the engine's cache.
     """
 
     prompt_tokens: int
@@ -67,13 +69,13 @@
 
 
 class DecodeRequest(msgspec.Struct, frozen=True):
-    """Work for a decode engine.
+    """Body of a request to a decode engine.
 
     Attributes:
         stream: id of the attempt.
-        source: URL of the prefill engine that has the KV cache.
-        max_tokens: most tokens to generate in all.
-        priority: 0 is the most urgent.
+        source: URL of the prefill engine that holds the KV cache.
+        max_tokens: limit on generated tokens, including earlier ones.
+        priority: priority of the request; 0 is the most urgent.
     """
 
     stream: ids.StreamId
@@ -83,13 +85,13 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """One line of a stream: a token, or the end marker.
+    """A line of a stream: a token or the end marker.
 
     Attributes:
-        stream: whose.
-        offset: number of the token; of the end marker, how many there are.
-        text: of the token.
-        finish: stop or length on the end marker, else empty.
+        stream: id of the stream.
+        offset: index of the token; for the end marker, the token count.
+        text: text of the token.
+        finish: "stop" or "length" on the end marker, else empty.
     """
 
     stream: str
@@ -99,7 +101,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A cache event: prefix blocks stored or evicted."""
+    """Prefix blocks that an engine's cache stored or evicted."""
 
     number: int
     blocks: tuple[int, ...]
@@ -107,15 +109,15 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """An engine's load report, which lags.
+    """An engine's load report, which lags behind its actual load.
 
     Attributes:
-        incarnation: chosen when the engine started.
-        sequence: number of the report.
-        leaving: the engine takes no new work.
-        held: requests in its memory.
-        seconds_per_token: time of its last decode steps.
-        events: cache events after the number asked for.
+        incarnation: number that the engine chose when it started.
+        sequence: sequence number of the report.
+        leaving: whether the engine is draining and accepts no new work.
+        held: number of requests in the engine's memory.
+        seconds_per_token: duration of the most recent decode steps.
+        events: cache events after the requested number.
     """
 
     incarnation: int
@@ -127,23 +129,23 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Body of an error answer; `started` tells whether work began."""
+    """Body of an error response; `started` tells whether work started."""
 
     started: bool = True
     why: str = ''
 
 
-_DONE: typing.Final = msgspec.json.Decoder(PrefillResult)
-_EVENT: typing.Final = msgspec.json.Decoder(Event)
-_LOAD: typing.Final = msgspec.json.Decoder(Load)
-_REFUSAL: typing.Final = msgspec.json.Decoder(ErrorBody)
-_ORDER: typing.Final = msgspec.json.Decoder(orders.Order)
+_PREFILL_DECODER: typing.Final = msgspec.json.Decoder(PrefillResult)
+_EVENT_DECODER: typing.Final = msgspec.json.Decoder(Event)
+_LOAD_DECODER: typing.Final = msgspec.json.Decoder(Load)
+_ERROR_DECODER: typing.Final = msgspec.json.Decoder(ErrorBody)
+_ORDER_DECODER: typing.Final = msgspec.json.Decoder(orders.Order)
 
 
 async def prefill(
     client: aiohttp.ClientSession, url: str, call: PrefillRequest
 ) -> PrefillResult | errors.Failure:
-    """Run a prefill; its result is kept for a short time."""
+    """Run a prefill; the engine keeps its result for a short time."""
     body = msgspec.json.encode(call)
     try:
         async with client.post(f'{url}/prefill', data=body) as response:
@@ -153,18 +155,18 @@
     if isinstance(data, errors.Failure):
         return data
     if response.status != 200:
-        return _refused(response.status, data)
+        return _failure_of_response(response.status, data)
     try:
-        return _DONE.decode(data)
+        return _PREFILL_DECODER.decode(data)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
 
 class CancelOutcome(enum.Enum):
-    """What came of a cancel.
+    """Result of a cancel.
 
-    An absent engine refuses connections: its process, and so its memory,
-    is gone.
+    ABSENT means that the engine refuses connections: its process has exited
+    and its memory is freed.
     """
 
     CONFIRMED = 'confirmed'
@@ -175,15 +177,15 @@
 async def cancel(
     client: aiohttp.ClientSession, url: str, stream: ids.StreamId
 ) -> CancelOutcome:
-    """Free a stream; confirmed once the engine says that it has none."""
+    """Free a stream; CONFIRMED means that the engine no longer has it."""
     try:
         async with client.delete(
-            f'{url}/streams/{stream}', timeout=_SHORT
+            f'{url}/streams/{stream}', timeout=_CONTROL_TIMEOUT
         ) as response:
             await http.read_all(response, MAX_LINE_BYTES)
     except aiohttp.ClientConnectorError as error:
-        refused = isinstance(error.os_error, ConnectionRefusedError)
-        return CancelOutcome.ABSENT if refused else CancelOutcome.FAILED
+        is_refused = isinstance(error.os_error, ConnectionRefusedError)
+        return CancelOutcome.ABSENT if is_refused else CancelOutcome.FAILED
     except http.CLIENT_ERRORS:
         return CancelOutcome.FAILED
     if response.status in (200, 404):
@@ -194,10 +196,10 @@
 async def fetch_load(
     client: aiohttp.ClientSession, url: str, since: int
 ) -> Load | errors.Failure:
-    """Return a load report with the cache events after a number."""
+    """Fetch a load report with the cache events after a number."""
     try:
         async with client.get(
-            f'{url}/load?since={since}', timeout=_SHORT
+            f'{url}/load?since={since}', timeout=_CONTROL_TIMEOUT
         ) as response:
             data = await http.read_all(response)
     except http.CLIENT_ERRORS as error:
@@ -205,7 +207,7 @@
     if isinstance(data, errors.Failure):
         return data
     try:
-        return _LOAD.decode(data)
+        return _LOAD_DECODER.decode(data)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
@@ -213,16 +215,18 @@
 async def fetch_order(
     client: aiohttp.ClientSession, url: str
 ) -> orders.Order | errors.Failure:
-    """Return what an engine runs."""
+    """Fetch the order that an engine executes."""
     try:
-        async with client.get(f'{url}/order', timeout=_SHORT) as response:
+        async with client.get(
+            f'{url}/order', timeout=_CONTROL_TIMEOUT
+        ) as response:
             data = await http.read_all(response, MAX_LINE_BYTES)
     except http.CLIENT_ERRORS as error:
         return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
     try:
-        return _ORDER.decode(data)
+        return _ORDER_DECODER.decode(data)
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
@@ -230,39 +234,39 @@
 async def send_order(
     client: aiohttp.ClientSession,
     url: str,
-    wanted: orders.Order,
+    desired: orders.Order,
     fencing: int,
 ) -> errors.Failure | None:
-    """Tell an engine what to run; None when it took the order."""
-    body = msgspec.json.encode({'order': wanted, 'fencing': fencing})
+    """Send an order to an engine; return None if it accepts the order."""
+    body = msgspec.json.encode({'order': desired, 'fencing': fencing})
     try:
         async with client.post(
-            f'{url}/order', data=body, timeout=_SHORT
+            f'{url}/order', data=body, timeout=_CONTROL_TIMEOUT
         ) as response:
             data = await http.read_all(response, MAX_LINE_BYTES)
     except http.CLIENT_ERRORS as error:
         return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
-    if response.status == _STALE:
+    if response.status == _STALE_STATUS:
         return errors.Failure(errors.STALE_FENCING, url)
     if response.status != 200:
-        return _refused(response.status, data)
+        return _failure_of_response(response.status, data)
     return None
 
 
 class Stream:
-    """A decode stream that is being read over one connection."""
+    """A decode stream, read over a single connection."""
 
     def __init__(self, response: aiohttp.ClientResponse) -> None:
         self._response = response
-        self._rest = b''
+        self._partial_line = b''
 
     async def read(self) -> list[Event] | errors.Failure:
-        """Return the next events, at least one, or why there are none.
+        """Return the next events, at least one, or a failure.
 
-        The end of the connection is STREAM_BROKEN, always: a stream ends
-        with its end marker, after which nobody reads on.
+        The end of the connection is always STREAM_BROKEN: a stream finishes
+        with its end marker, after which callers stop reading.
         """
         while True:
             try:
@@ -272,21 +276,21 @@
                 return errors.Failure(errors.STREAM_BROKEN, detail)
             if not chunk:
                 return errors.Failure(errors.STREAM_BROKEN, 'closed')
-            lines = (self._rest + chunk).split(b'\n')
-            self._rest = lines.pop()
-            if len(self._rest) > MAX_LINE_BYTES:
+            lines = (self._partial_line + chunk).split(b'\n')
+            self._partial_line = lines.pop()
+            if len(self._partial_line) > MAX_LINE_BYTES:
                 return errors.Failure(errors.BAD_UPSTREAM, 'line too long')
             if lines:
-                return _events(lines)
+                return _decode_events(lines)
 
     def close(self) -> None:
-        """Drop the connection; the engine keeps the stream."""
+        """Close the connection; the engine keeps the stream."""
         self._response.close()
 
 
-def _events(lines: list[bytes]) -> list[Event] | errors.Failure:
+def _decode_events(lines: list[bytes]) -> list[Event] | errors.Failure:
     try:
-        return [_EVENT.decode(line) for line in lines if line]
+        return [_EVENT_DECODER.decode(line) for line in lines if line]
     except msgspec.MsgspecError as error:
         return errors.Failure(errors.BAD_UPSTREAM, str(error))
 
@@ -294,9 +298,9 @@
 async def decode(
     client: aiohttp.ClientSession, url: str, call: DecodeRequest
 ) -> Stream | errors.Failure:
-    """Import the KV cache and begin to generate."""
+    """Make an engine import the KV cache and start to generate."""
     body = msgspec.json.encode(call)
-    return await _open(client, 'POST', f'{url}/decode', body)
+    return await _open_stream(client, 'POST', f'{url}/decode', body)
 
 
 async def resume(
@@ -305,16 +309,16 @@
     stream: ids.StreamId,
     offset: int,
 ) -> Stream | errors.Failure:
-    """Read a stream again from an offset; STREAM_GONE if there is none."""
+    """Resume a stream from an offset; return STREAM_GONE if it is gone."""
     path = f'{url}/streams/{stream}?offset={offset}'
-    opened = await _open(client, 'GET', path, None)
-    if isinstance(opened, errors.Failure):
-        if opened.reason is errors.NOT_FOUND:
-            return errors.Failure(errors.STREAM_GONE, opened.detail)
-    return opened
+    result = await _open_stream(client, 'GET', path, None)
+    if isinstance(result, errors.Failure):
+        if result.reason is errors.NOT_FOUND:
+            return errors.Failure(errors.STREAM_GONE, result.detail)
+    return result
 
 
-async def _open(
+async def _open_stream(
     client: aiohttp.ClientSession, method: str, url: str, body: bytes | None
 ) -> Stream | errors.Failure:
     try:
@@ -327,20 +331,20 @@
         return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
-    return _refused(response.status, data)
+    return _failure_of_response(response.status, data)
 
 
-def _refused(status: int, data: bytes) -> errors.Failure:
-    """Return the failure that an error answer means."""
+def _failure_of_response(status: int, data: bytes) -> errors.Failure:
+    """Return the failure that an error response stands for."""
     if status == 404:
         return errors.Failure(errors.NOT_FOUND, 'stream')
     try:
-        refusal = _REFUSAL.decode(data)
+        error_body = _ERROR_DECODER.decode(data)
     except msgspec.MsgspecError:
-        refusal = ErrorBody()
-    detail = f'status {status} {refusal.why}'
-    if status == _EVICTED:
+        error_body = ErrorBody()
+    detail = f'status {status} {error_body.why}'
+    if status == _EVICTED_STATUS:
         return errors.Failure(errors.STREAM_GONE, detail)
-    if status == _REFUSED and not refusal.started:
+    if status == _REFUSED_STATUS and not error_body.started:
         return errors.Failure(errors.UPSTREAM_REFUSED, detail)
     return errors.Failure(errors.ENGINE_FAILED, detail)
