--- a/galenahatch/upstream/http.py
+++ b/galenahatch/upstream/http.py
@@ -10,15 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What the clients of upstreams share: how a failed send is told apart.
+"""HTTP sessions for upstreams and classification of failed sends.
 
-A connection that was never made carried no byte of the work: that is
-known not to have run. Any later break is unknown.
+If no connection was established, no byte was sent and the work did not run.
+After any later failure, whether it ran is unknown.
 
-The client library sends a GET, PUT or DELETE again by itself when the
-connection breaks under it, also a fresh one. Work that may run only once
-must not be sent twice by any layer, so its session turns the breaks that
-the library would repeat on into errors that it passes on.
+The client library retries a GET, PUT or DELETE by itself when the connection
+breaks, even a new one. No layer may send work twice that may run only once,
+so its session converts the errors on which the library retries into errors
+that the library propagates.
 """
 
 import asyncio
@@ -37,44 +37,44 @@
 )
 NO_TIMEOUT: typing.Final = aiohttp.ClientTimeout(total=None)
 MAX_BODY_BYTES: typing.Final = 8 * 1024 * 1024
-_LIBRARY_NOT_CONNECTED: typing.Final = (
+_LIBRARY_CONNECT_ERRORS: typing.Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
 )
 
 
 class NotConnectedError(aiohttp.ClientError):
-    """No connection was made: no byte was sent."""
+    """No connection was established, so no byte was sent."""
 
 
 class ConnectionLostError(aiohttp.ClientError):
-    """The connection broke when something may have been sent."""
+    """The connection broke when data may have been sent."""
 
 
 async def send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Send a request without the library's own second try.
+    """Send a request without the client library's own retry.
 
     Raises:
-        NotConnectedError: no connection was made.
+        NotConnectedError: no connection was established.
         BrokenSendError: it broke when something may have been sent.
     """
     try:
         return await handler(request)
-    except _LIBRARY_NOT_CONNECTED as error:
+    except _LIBRARY_CONNECT_ERRORS as error:
         raise NotConnectedError(str(error)) from error
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         raise ConnectionLostError(str(error)) from error
 
 
-NOT_CONNECTED: typing.Final = (NotConnectedError, *_LIBRARY_NOT_CONNECTED)
-"""No connection was made, whether the library's own second try is off or
-not."""
+NOT_CONNECTED: typing.Final = (NotConnectedError, *_LIBRARY_CONNECT_ERRORS)
+"""Errors that mean that no connection was established, with or without the
+client library's own retry."""
 
 
 class Connector(aiohttp.TCPConnector):
-    """Makes connections within a limit that a pause does not use up."""
+    """Connector whose connect time-out excludes pauses of this process."""
 
     async def _wrap_create_connection(
         self,
@@ -82,10 +82,10 @@
         timeout: aiohttp.ClientTimeout,
         **options: typing.Any,
     ) -> tuple[asyncio.Transport, client_proto.ResponseHandler]:
-        """Make a connection; the kernel does while this process waits.
+        """Establish a connection; the kernel does so even in a pause.
 
-        With the library's own limit, pauses of 0.27 s refused three calls in
-        92 whose upstreams were well.
+        With the library's own time-out, pauses of 0.27 s failed three calls
+        in 92 although their upstreams were healthy.
         """
         async with timeouts.limit(timeout.sock_connect):
             return await super()._wrap_create_connection(
@@ -96,14 +96,14 @@
 def session(
     connect_timeout: float, idle_timeout: float, reuse: bool = True
 ) -> aiohttp.ClientSession:
-    """Return a session for upstreams.
+    """Create a session for requests to upstreams.
 
     Args:
-        connect_timeout: seconds for a connection.
-        idle_timeout: seconds without a byte of an answer.
-        reuse: keep connections. A kept connection that the upstream closes
-            as a request is sent leaves its fate unknown, so work that may
-            run only once goes over a fresh one.
+        connect_timeout: seconds to establish a connection.
+        idle_timeout: seconds to wait for the next byte of a response.
+        reuse: whether to reuse connections. If the upstream closes a reused
+            connection while a request is sent, whether the request ran is
+            unknown, so work that may run only once uses a new connection.
     """
     return aiohttp.ClientSession(
         connector=Connector(limit=0, force_close=not reuse),
@@ -116,7 +116,7 @@
 
 
 def send_failure(error: BaseException) -> errors.Failure:
-    """Return what is known after an exception of a send."""
+    """Return the failure for an exception raised by a send."""
     detail = f'{type(error).__name__} {error}'
     if isinstance(error, NOT_CONNECTED):
         return errors.Failure(errors.UPSTREAM_UNREACHABLE, detail)
@@ -126,7 +126,7 @@
 async def read_all(
     response: aiohttp.ClientResponse, limit: int = MAX_BODY_BYTES
 ) -> bytes | errors.Failure:
-    """Return a whole body, or BAD_UPSTREAM if it is over the limit."""
+    """Read a whole body; return BAD_UPSTREAM if it exceeds the limit."""
     data = bytearray()
     async for chunk in response.content.iter_any():
         data += chunk
--- a/galenahatch/upstream/service.py
+++ b/galenahatch/upstream/service.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Client of a plain service: one call, whole answer."""
+"""Client of a plain service: sends a request, reads the whole response."""
 
 import typing
 
@@ -20,7 +20,7 @@
 from galenahatch import errors
 from galenahatch.upstream import http
 
-_HOP_HEADERS: typing.Final = frozenset(
+_DROPPED_HEADERS: typing.Final = frozenset(
     (
         'authorization',
         'connection',
@@ -35,11 +35,11 @@
         'upgrade',
     )
 )
-_REFUSED: typing.Final = 503
+_REFUSED_STATUS: typing.Final = 503
 
 
 class Call(msgspec.Struct, frozen=True):
-    """One call of a plain service."""
+    """A request to a plain service."""
 
     method: str
     path: str
@@ -48,7 +48,7 @@
 
 
 class Result(msgspec.Struct, frozen=True):
-    """The service's answer, passed on as it is."""
+    """A plain service's response, forwarded unchanged."""
 
     status: int
     content_type: str
@@ -56,27 +56,30 @@
 
 
 def forwardable_headers(headers: typing.Mapping[str, str]) -> dict[str, str]:
-    """Return the headers that go on to a service."""
+    """Return the headers to forward to a service."""
     return {
         name: value
         for name, value in headers.items()
-        if name.lower() not in _HOP_HEADERS
+        if name.lower() not in _DROPPED_HEADERS
     }
 
 
 async def call(
-    client: aiohttp.ClientSession, url: str, request: Call, seconds: float
+    client: aiohttp.ClientSession,
+    url: str,
+    request: Call,
+    total_timeout: float,
 ) -> Result | errors.Failure:
-    """Call a service.
+    """Send a request to a service.
 
     Args:
-        client: session.
+        client: HTTP session.
         url: base URL of the upstream.
-        request: what to send.
-        seconds: for the whole call.
+        request: request to send.
+        total_timeout: time-out of the whole request in seconds.
     """
     timeout = aiohttp.ClientTimeout(
-        total=seconds, sock_connect=client.timeout.sock_connect
+        total=total_timeout, sock_connect=client.timeout.sock_connect
     )
     try:
         async with client.request(
@@ -92,14 +95,16 @@
         return http.send_failure(error)
     if isinstance(data, errors.Failure):
         return data
-    if response.status == _REFUSED and _not_started(data):
+    if response.status == _REFUSED_STATUS and _states_not_started(data):
         return errors.Failure(errors.UPSTREAM_REFUSED, url)
-    kind = response.headers.get('Content-Type', 'application/octet-stream')
-    return Result(response.status, kind, data)
+    content_type = response.headers.get(
+        'Content-Type', 'application/octet-stream'
+    )
+    return Result(response.status, content_type, data)
 
 
-def _not_started(data: bytes) -> bool:
-    """Return whether a refusal says that nothing was started."""
+def _states_not_started(data: bytes) -> bool:
+    """Return whether a refusal states that no work was started."""
     try:
         refusal = msgspec.json.decode(data, type=_Refusal)
     except msgspec.MsgspecError:
