--- a/galenahatch/upstream/http.py
+++ b/galenahatch/upstream/http.py
@@ -58,7 +58,8 @@
 
     Raises:
         NotConnectedError: no connection was established.
-        BrokenSendError: it broke when something may have been sent.
+        ConnectionLostError: the connection broke when data may have been
+            sent.
     """
     try:
         return await handler(request)
