--- a/galenahatch/answers.py
+++ b/galenahatch/answers.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Answers to callers: OpenAI-compatible JSON and server-sent events."""
+"""Responses to callers: OpenAI-compatible JSON and server-sent events."""
 
 import math
 import typing
@@ -29,117 +29,122 @@
 
 
 class Sink(typing.Protocol):
-    """Where an answer's tokens go while it is generated."""
+    """Receiver of a response's text while it is generated."""
 
-    async def tokens(self, text: str) -> None:
-        """Pass on some text."""
+    async def send_text(self, text: str) -> None:
+        """Send generated text to the caller."""
 
 
-class NoSink:
-    """Keeps nothing: the answer is sent whole at the end."""
+class DiscardingSink:
+    """Discards text; used when the response is sent whole at the end."""
 
-    async def tokens(self, text: str) -> None:
-        """Ignore the text."""
+    async def send_text(self, text: str) -> None:
+        """Discard the text."""
 
 
 class StreamSink:
-    """Sends text as server-sent events as it comes.
+    """Sends text as server-sent events while it is generated.
 
     Args:
-        request: the caller's.
-        asked: the checked request.
+        request: HTTP request of the caller.
+        model_request: validated model request.
     """
 
     def __init__(
-        self, request: web.Request, asked: inbound.ModelRequest
+        self, request: web.Request, model_request: inbound.ModelRequest
     ) -> None:
         self._request = request
-        self._asked = asked
+        self._model_request = model_request
         self._response: web.StreamResponse | None = None
 
     @property
     def response(self) -> web.StreamResponse | None:
-        """The response, once its headers are sent."""
+        """HTTP response; None before its headers are sent."""
         return self._response
 
-    async def tokens(self, text: str) -> None:
-        """Send a chunk of text."""
-        await self._write(_chunk(self._asked, text, None))
+    async def send_text(self, text: str) -> None:
+        """Send a chunk of generated text."""
+        await self._write(_chunk(self._model_request, text, None))
 
     async def end(self, finish: str) -> web.StreamResponse:
-        """Send the end of a whole answer."""
-        await self._write(_chunk(self._asked, '', finish))
+        """Send the finish reason and close a complete stream."""
+        await self._write(_chunk(self._model_request, '', finish))
         return await self._close(b'data: [DONE]\n\n')
 
     async def fail(self, failure: errors.Failure) -> web.StreamResponse:
-        """Send a failure in place of the end; no [DONE] follows."""
-        body = error_body(failure, self._asked.headers.request)
+        """Send an error as the last event; no [DONE] follows."""
+        body = error_body(failure, self._model_request.headers.request)
         return await self._close(b'data: ' + body + b'\n\n')
 
     async def _write(self, chunk: dict[str, typing.Any]) -> None:
-        response = await self._opened()
+        response = await self._open_response()
         line = b'data: ' + msgspec.json.encode(chunk) + b'\n\n'
         await response.write(line)
 
     async def _close(self, last: bytes) -> web.StreamResponse:
-        response = await self._opened()
+        response = await self._open_response()
         await response.write(last)
         await response.write_eof()
         return response
 
-    async def _opened(self) -> web.StreamResponse:
+    async def _open_response(self) -> web.StreamResponse:
         if self._response is None:
             response = web.StreamResponse()
             response.content_type = EVENT_STREAM
             response.headers['Cache-Control'] = 'no-store'
             response.headers[inbound.OUTCOME] = 'streaming'
-            response.headers[inbound.REQUEST_ID] = self._asked.headers.request
+            response.headers[inbound.REQUEST_ID] = (
+                self._model_request.headers.request
+            )
             await response.prepare(self._request)
             self._response = response
         return self._response
 
 
 def _chunk(
-    asked: inbound.ModelRequest, text: str, finish: str | None
+    model_request: inbound.ModelRequest, text: str, finish_reason: str | None
 ) -> dict[str, typing.Any]:
-    choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': finish}
-    if asked.chat:
+    choice: dict[str, typing.Any] = {
+        'index': 0,
+        'finish_reason': finish_reason,
+    }
+    if model_request.chat:
         choice['delta'] = {'content': text} if text else {}
         kind = 'chat.completion.chunk'
     else:
         choice['text'] = text
         kind = 'text_completion'
     chunk: dict[str, typing.Any] = {
-        'id': asked.headers.request,
+        'id': model_request.headers.request,
         'object': kind,
-        'model': asked.service.name,
+        'model': model_request.service.name,
         'choices': [choice],
     }
-    if finish is not None:
+    if finish_reason is not None:
         chunk['galenahatch'] = {'outcome': errors.Outcome.ANSWERED.value}
     return chunk
 
 
-def whole(
-    asked: inbound.ModelRequest, text: str, finish: str, tokens: int
+def completion(
+    model_request: inbound.ModelRequest, text: str, finish: str, tokens: int
 ) -> claim.Answer:
-    """Return a whole answer that is not streamed."""
+    """Return the body of a complete response that is not streamed."""
     choice: dict[str, typing.Any] = {'index': 0, 'finish_reason': finish}
-    if asked.chat:
+    if model_request.chat:
         choice['message'] = {'role': 'assistant', 'content': text}
         kind = 'chat.completion'
     else:
         choice['text'] = text
         kind = 'text_completion'
     body = {
-        'id': asked.headers.request,
+        'id': model_request.headers.request,
         'object': kind,
-        'model': asked.service.name,
+        'model': model_request.service.name,
         'choices': [choice],
         'usage': {
-            'prompt_tokens': asked.prompt_tokens,
+            'prompt_tokens': model_request.prompt_tokens,
             'completion_tokens': tokens,
-            'total_tokens': asked.prompt_tokens + tokens,
+            'total_tokens': model_request.prompt_tokens + tokens,
         },
     }
     return claim.Answer(
@@ -147,8 +152,8 @@
     )
 
 
-def models(settings: schema.Config) -> claim.Answer:
-    """Return the list of models that are configured."""
+def model_list(settings: schema.Config) -> claim.Answer:
+    """Return the list of configured models."""
     listed = [
         {
             'id': service.name,
@@ -164,8 +169,10 @@
     )
 
 
-def failed(failure: errors.Failure, request: ids.RequestId) -> claim.Answer:
-    """Return a failure as an answer, to be kept with a claim."""
+def failure_answer(
+    failure: errors.Failure, request: ids.RequestId
+) -> claim.Answer:
+    """Return a failure in the form in which a claim stores it."""
     return claim.Answer(
         failure.reason.status,
         failure.outcome.value,
@@ -178,7 +185,7 @@
     """Return the JSON body of a failure."""
     error: dict[str, typing.Any] = {
         'type': failure.reason.name,
-        # What OpenAI's client shows its user, and what programs compare.
+        # OpenAI clients show this text, and programs compare it.
         'message': f'{failure.reason.message} {failure.detail}'.rstrip(),
         'code': failure.reason.name,
         'reason': failure.reason.message,
@@ -191,12 +198,12 @@
     return msgspec.json.encode({'error': error})
 
 
-def response_of(
+def build_response(
     answer: claim.Answer,
     request: ids.RequestId,
     retry_after: float | None = None,
 ) -> web.Response:
-    """Return the HTTP response of an answer."""
+    """Return the HTTP response for an answer."""
     response = web.Response(status=answer.status, body=answer.body)
     response.headers['Content-Type'] = answer.content_type
     response.headers[inbound.OUTCOME] = answer.outcome
@@ -207,22 +214,22 @@
     return response
 
 
-def refusal_of(
+def failure_response(
     failure: errors.Failure, request: ids.RequestId
 ) -> web.Response:
-    """Return the HTTP response of a failure."""
-    answer = failed(failure, request)
+    """Return the HTTP response for a failure."""
+    answer = failure_answer(failure, request)
     retry_after = failure.retry_after
     if retry_after is None and failure.reason.status in (409, 429, 503):
         retry_after = 1.0
-    response = response_of(answer, request, retry_after)
+    response = build_response(answer, request, retry_after)
     if failure.ticket:
         response.headers[inbound.TICKET] = failure.ticket
     return response
 
 
-class Stored(msgspec.Struct, frozen=True):
-    """Text and finish reason of a stored answer."""
+class StoredCompletion(msgspec.Struct, frozen=True):
+    """Text and finish reason of a stored completion."""
 
     text: str
     finish: str
@@ -242,11 +249,11 @@
     choices: tuple[_StoredChoice, ...]
 
 
-def stored_text(answer: claim.Answer) -> Stored | None:
-    """Return the text of a stored whole answer; None for a failure."""
+def decode_stored_completion(answer: claim.Answer) -> StoredCompletion | None:
+    """Decode a stored completion; return None for a stored failure."""
     if answer.outcome != errors.Outcome.ANSWERED.value:
         return None
     body = msgspec.json.decode(answer.body, type=_StoredBody)
     choice = body.choices[0]
     text = choice.text or choice.message.content
-    return Stored(text, choice.finish_reason)
+    return StoredCompletion(text, choice.finish_reason)
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The controller: orders to engines, under one lease in the table.
+"""Controller: sends orders to engines while it holds a lease in the table.
 
-One controller holds the lease and brings engines to what is declared;
-the others stand by. A holder that can't renew sends nothing from half the
-lease's length on.
+One controller holds the lease and reconciles engines with the configuration;
+the others are standbys. A holder that cannot renew its lease stops sending
+orders after half of the lease's duration.
 """
 
 import asyncio
@@ -39,14 +39,14 @@
 import msgspec
 
 LEASE_KEY: typing.Final = 'lease/controller'
-LONGEST_ORDER: typing.Final = 2.5
-_RENEWALS: typing.Final = 6
-_LOOK: typing.Final = 1.0
-READS_A_SECOND: typing.Final = 150
-"""Engines that are read back a second, so that reading stays cheap."""
-_AT_ONCE: typing.Final = 32
+MAX_ORDER_S: typing.Final = 2.5
+_RENEWALS_PER_LEASE: typing.Final = 6
+_RECONCILE_INTERVAL_S: typing.Final = 1.0
+MAX_READS_PER_SECOND: typing.Final = 150
+"""Limits how many engines are read per second, to keep polling cheap."""
+_MAX_CONCURRENT_READS: typing.Final = 32
 _log = logs.Log('controller')
-_RECORD: typing.Final = msgspec.msgpack.Decoder(lease_module.Record)
+_RECORD_DECODER: typing.Final = msgspec.msgpack.Decoder(lease_module.Record)
 
 
 class Controller(application.Daemon):
@@ -55,33 +55,36 @@
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open(states.Role.CONTROLLER, _ignore)
+        self.open_clients(states.Role.CONTROLLER, _ignore_message)
         self._lease = lease_module.Lease(
             self.peers.member,
             self.peers.incarnation,
             options.lease,
-            LONGEST_ORDER,
+            MAX_ORDER_S,
         )
-        self._stored: bytes | None = None
-        self._read_at = 0.0
-        self._seen = ids.Revision(0)
-        self._slots = asyncio.Semaphore(_AT_ONCE)
-        self.peers.report(self._note_ready)
-        self.join()
-        pause = options.lease / _RENEWALS
-        self.tasks.keep(
-            'lease', lambda: tasks.every(lambda: pause, self._renew)
+        self._stored_lease: bytes | None = None
+        self._next_read_at = 0.0
+        self._reconciled_revision = ids.Revision(0)
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
+        self.peers.on_heartbeat(self._update_readiness)
+        self.start_peer_tasks()
+        pause = options.lease / _RENEWALS_PER_LEASE
+        self.tasks.run_forever(
+            'lease', lambda: tasks.run_periodically(lambda: pause, self._renew)
         )
-        self.tasks.keep(
-            'orders', lambda: tasks.every(lambda: _LOOK, self._repair)
+        self.tasks.run_forever(
+            'orders',
+            lambda: tasks.run_periodically(
+                lambda: _RECONCILE_INTERVAL_S, self._reconcile
+            ),
         )
         app = web.Application()
-        app.add_routes(application.health_routes(self._why_not_ready))
+        app.add_routes(application.health_routes(self._not_ready_reason))
         await self.listen(app, options.controller_http_port, options.keepalive)
         _log.info('Listening.', member=self.peers.member)
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Send no further order and give the lease up."""
+        """Stop sending orders and release the lease."""
         application.ignore_signals(_log)
         was_holder = self._lease.is_holder(clock.now())
         self._lease.resign()
@@ -89,14 +92,14 @@
         self.peers.broadcast(self.peers.heartbeat())
         await self.tasks.stop()
         if was_holder:
-            await self._give_up()
+            await self._delete_lease()
         await self.close()
 
-    def _why_not_ready(self) -> str:
+    def _not_ready_reason(self) -> str:
         return '' if self.config.revision else 'no configuration'
 
-    def _note_ready(self) -> None:
-        self.peers.why_not_ready = self._why_not_ready()
+    def _update_readiness(self) -> None:
+        self.peers.not_ready_reason = self._not_ready_reason()
         self.peers.load = int(self._lease.is_holder(clock.now()))
 
     async def _renew(self) -> None:
@@ -104,79 +107,87 @@
         values = await self.table.read([LEASE_KEY])
         if isinstance(values, errors.Failure):
             return
-        self._stored = values.get(LEASE_KEY)
-        self._lease.observe(_decode(self._stored), clock.now())
+        self._stored_lease = values.get(LEASE_KEY)
+        self._lease.observe(_decode(self._stored_lease), clock.now())
         proposal = self._lease.propose(clock.now())
         if proposal is None:
             return
-        began = clock.now()
+        sent_at = clock.now()
         data = msgspec.msgpack.encode(proposal)
-        done = await self.table.commit(_swap(self._stored, data))
+        done = await self.table.commit(
+            _compare_and_swap(self._stored_lease, data)
+        )
         if isinstance(done, transaction.Committed):
-            before = self._lease.fencing
-            self._lease.record_accepted(proposal, began, clock.now())
-            self._stored = data
-            if before != proposal.fencing:
+            previous_fencing = self._lease.fencing
+            self._lease.record_accepted(proposal, sent_at, clock.now())
+            self._stored_lease = data
+            if previous_fencing != proposal.fencing:
                 _log.info('Lease taken.', fencing=proposal.fencing)
 
-    async def _give_up(self) -> None:
-        """Delete the lease, so that a standby need not wait it out."""
-        if self._stored is not None:
-            await self.table.commit(_swap(self._stored, None))
+    async def _delete_lease(self) -> None:
+        """Delete the lease so that a standby need not wait for its expiry."""
+        if self._stored_lease is not None:
+            await self.table.commit(
+                _compare_and_swap(self._stored_lease, None)
+            )
 
-    async def _repair(self) -> None:
-        """Read engines back and order what differs from what is wanted.
+    async def _reconcile(self) -> None:
+        """Read the engines' state and send orders where it differs.
 
-        Many engines are read less often, but at once after a change.
+        The interval grows with the number of engines, but a new revision is
+        reconciled at once.
         """
-        settings = self._declared()
+        settings = self._merged_config()
         now = clock.now()
         if settings is None or not self._lease.may_send_orders(now):
             return
-        if now < self._read_at and self._seen == self.config.revision:
+        if (
+            now < self._next_read_at
+            and self._reconciled_revision == self.config.revision
+        ):
             return
-        self._seen = self.config.revision
-        pause = len(settings.engines) / READS_A_SECOND
-        self._read_at = now + max(_LOOK, pause)
+        self._reconciled_revision = self.config.revision
+        pause = len(settings.engines) / MAX_READS_PER_SECOND
+        self._next_read_at = now + max(_RECONCILE_INTERVAL_S, pause)
         observed = await self._observe(settings.engines)
-        wanted = orders.desired_orders(settings)
+        desired = orders.desired_orders(settings)
         engines = {engine.name: engine for engine in settings.engines}
-        for send in orders.plan_orders(wanted, observed):
+        for planned in orders.plan_orders(desired, observed):
             if not self._lease.may_send_orders(clock.now()):
                 return
-            await self._order(engines[send.engine], send)
+            await self._send_order(engines[planned.engine], planned)
 
-    async def _order(
-        self, engine: schema.Engine, send: orders.PlannedOrder
+    async def _send_order(
+        self, engine: schema.Engine, planned: orders.PlannedOrder
     ) -> None:
         failure = await engine_client.send_order(
             self.engines,
             cancelling.url_of(engine),
-            send.order,
+            planned.order,
             self._lease.fencing,
         )
         _log.info(
             'Order sent.',
             engine=engine.name,
-            model=send.order.model,
-            version=send.order.version,
-            role=send.order.role,
+            model=planned.order.model,
+            version=planned.order.version,
+            role=planned.order.role,
             fencing=self._lease.fencing,
-            why=send.why,
+            why=planned.why,
             result=failure.reason.name if failure else 'taken',
         )
 
     async def _observe(
         self, engines: tuple[schema.Engine, ...]
     ) -> dict[ids.EngineName, orders.Order]:
-        found = await asyncio.gather(*(self._read(e) for e in engines))
+        results = await asyncio.gather(*(self._read_order(e) for e in engines))
         return {
             engine.name: order
-            for engine, order in zip(engines, found, strict=True)
+            for engine, order in zip(engines, results, strict=True)
             if not isinstance(order, errors.Failure)
         }
 
-    async def _read(
+    async def _read_order(
         self, engine: schema.Engine
     ) -> orders.Order | errors.Failure:
         async with self._slots:
@@ -184,8 +195,8 @@
                 self.engines, cancelling.url_of(engine)
             )
 
-    def _declared(self) -> schema.Config | None:
-        """Return the services and engines of all sites together."""
+    def _merged_config(self) -> schema.Config | None:
+        """Return the services and engines of all sites, merged."""
         services: dict[ids.ServiceName, schema.ModelService] = {}
         engines: dict[ids.EngineName, schema.Engine] = {}
         for settings in self.config.sites.values():
@@ -205,13 +216,13 @@
     if data is None:
         return None
     try:
-        return _RECORD.decode(data)
+        return _RECORD_DECODER.decode(data)
     except msgspec.MsgspecError as error:
         _log.error('Lease is malformed.', detail=str(error))
         return None
 
 
-def _swap(
+def _compare_and_swap(
     before: bytes | None, after: bytes | None
 ) -> transaction.Transaction:
     return transaction.Transaction(
@@ -220,5 +231,5 @@
     )
 
 
-def _ignore(message: messages.AnyMessage) -> None:
-    """Take no part in other traffic."""
+def _ignore_message(message: messages.AnyMessage) -> None:
+    """Ignore a message; controllers handle no traffic of other daemons."""
--- a/galenahatch/gateway/generation.py
+++ b/galenahatch/gateway/generation.py
@@ -49,7 +49,6 @@
 """A resumable stream that is silent for this multiple of its route's longest
 pause moves to another engine. Callers disconnect after eight such pauses."""
 _MAX_PLACEMENTS: typing.Final = 6
-"""Maximum number of placements per request."""
 _RETRY_AFTER_S: typing.Final = 0.3
 _log = logs.Log('generation')
 
@@ -63,14 +62,14 @@
 
     def __init__(
         self,
-        means: contexts.Context,
+        context: contexts.Context,
         call: calls.Call,
         route: routes.Route,
         service: routes.Service,
         sink: contexts.Sink,
     ) -> None:
         assert call.prompt is not None and service.engine is not None
-        self._means = means
+        self._context = context
         self._call = call
         self._route = route
         self._service = service
@@ -88,7 +87,7 @@
         self._decode_engine = ids.UpstreamId('')
         self._ran_past_start = False
         self._was_placed = False
-        self._prefill = prefill.Prefill(means, call, service)
+        self._prefill = prefill.Prefill(context, call, service)
 
     async def run(self) -> contexts.CompleteAnswer | errors.Failure | None:
         """Serve the request; return None if its stream was relayed completely.
@@ -114,9 +113,11 @@
 
     def _refund_quota(self, failure: errors.Failure) -> None:
         """Refund the customer's quota if the request was not executed."""
-        units = self._call.quota_units
-        if units and failure.outcome is errors.Outcome.NOT_RUN:
-            self._means.ownership.refund_units(self._call.customer_name, units)
+        cost = self._call.quota_units
+        if cost and failure.outcome is errors.Outcome.NOT_RUN:
+            self._context.owner_client.refund_units(
+                self._call.customer_name, cost
+            )
 
     async def _run(self) -> contexts.CompleteAnswer | errors.Failure | None:
         for attempt in range(1, _MAX_PLACEMENTS + 1):
@@ -126,7 +127,7 @@
             self._stage = 'waiting'
             started_at = clock.now()
             request = self._placement_request(stream, attempt)
-            placement = await self._means.ownership.place(request)
+            placement = await self._context.owner_client.place(request)
             self._spent.waited += clock.now() - started_at
             if isinstance(placement, messages.PlacementRefused):
                 return self._rejected(placement)
@@ -137,15 +138,13 @@
             self._detail = result.detail
             self._avoid += {result.avoid, *result.at_fault}
             if result.disconnected is not None and not self._ran_past_start:
-                await self._means.guard.record_cut(
+                await self._context.guard.record_cut(
                     self._call, result.disconnected
                 )
-            if self._means.guard.is_blocked(self._call):
+            if self._context.guard.is_blocked(self._call):
                 return self._quarantined()
-            max_attempts = self._route.max_attempts
-            if not self._sends.may_send(
-                self._route.is_repeatable, max_attempts
-            ):
+            limit = self._route.max_attempts
+            if not self._sends.may_send(self._route.is_repeatable, limit):
                 break
         return self._failure()
 
@@ -162,9 +161,7 @@
             estimated_output=max(0, estimated - generated),
             max_output=max_output,
             start_by=self._call.arrived_at + self._route.latency_objective,
-            caller_leaves_at=contexts.abandonment_time(
-                self._call, self._route
-            ),
+            abandon_at=contexts.abandonment_time(self._call, self._route),
             deadline=self._deadline,
             last_block_id=self._prompt.last_block_id,
             avoid=tuple(self._avoid),
@@ -173,7 +170,7 @@
             longest_pause=self._route.max_event_gap,
             attempt=attempt,
             extra_sends=self._prefill.extra_sends() + (self._decode_sends > 0),
-            is_suspect=self._means.guard.is_suspect(self._call),
+            is_suspect=self._context.guard.is_suspect(self._call),
             customer=self._call.customer_name,
             quota_units=self._call.quota_units if attempt == 1 else 0.0,
             priority=contexts.priority(self._call, self._route),
@@ -182,29 +179,24 @@
     def _token_counts(self) -> tuple[int, int]:
         """Return the tokens to prefill and the limit on remaining output."""
         output = self._relay.event_count * self._spec.event_tokens
-        max_output = max(
-            self._spec.event_tokens, self._prompt.max_output - output
-        )
-        return self._prompt.tokens + output, max_output
+        limit = max(self._spec.event_tokens, self._prompt.max_output - output)
+        return self._prompt.tokens + output, limit
 
     async def _attempt(
         self, stream: ids.StreamId, placement: messages.Placement
     ) -> contexts.CompleteAnswer | errors.Failure | prefill.Retry | None:
-        find = self._means.directory.registry.find
+        find = self._context.directory.registry.find
         release = messages.Release(stream, self._service.name)
         try:
-            prefiller = find(placement.prefill)
+            engine = find(placement.prefill)
             decoder = find(placement.decode)
             if decoder is None or not self._takes_work(decoder):
                 return prefill.Retry(placement.decode, 'decode engine gone')
-            if prefiller is not None:
+            if engine is not None:
                 self._stage = 'prefill'
                 started_at = clock.now()
                 retry = await self._prefill.run(
-                    stream,
-                    prefiller,
-                    self._relay.last_event_id,
-                    self._deadline,
+                    stream, engine, self._relay.last_event_id, self._deadline
                 )
                 self._spent.read += clock.now() - started_at
                 if retry is not None:
@@ -216,11 +208,11 @@
             if isinstance(result, prefill.Retry):
                 release = self._failed_release(release, result)
             elif result is None:
-                self._means.guard.record_completion(self._call)
+                self._context.guard.record_completion(self._call)
                 release = self._final_release(release)
             return result
         finally:
-            self._means.ownership.release(release)
+            self._context.owner_client.release(release)
 
     def _takes_work(self, upstream: upstreams.Upstream) -> bool:
         """Return whether the request may still be sent to an upstream.
@@ -228,10 +220,10 @@
         Another gateway may have quarantined the request in the meantime, or
         the upstream may have asked this gateway to pause.
         """
-        paused = self._means.notices.pause_seconds_left(upstream.id)
-        if paused or self._means.guard.is_blocked(self._call):
+        paused = self._context.notices.pause_seconds_left(upstream.id)
+        if paused or self._context.guard.is_blocked(self._call):
             return False
-        registry = self._means.directory.registry
+        registry = self._context.directory.registry
         return registry.accepts_work(upstream.id, clock.now())
 
     def _failed_release(
@@ -270,7 +262,7 @@
         running = messages.RunningGeneration(
             stream, self._service.name, engine.id, prompt, output, limit, -1.0
         )
-        self._means.ownership.track_running(running, self._generated_tokens)
+        self._context.owner_client.track_running(running, self._output_tokens)
         time_left = contexts.seconds_until(self._deadline)
         options = calls.ForwardingOptions(
             engine.id,
@@ -283,7 +275,7 @@
         self._sent_at = clock.now()
         send_fate = fate.Fate.UNCERTAIN
         try:
-            response = await self._means.sender.send(
+            response = await self._context.sender.send(
                 engine,
                 self._call,
                 wire.upstream_headers(self._call, options),
@@ -303,7 +295,7 @@
             # A send that did not reach the engine costs no retry budget.
             self._decode_sends += send_fate is not fate.Fate.NOT_SENT
 
-    def _generated_tokens(self) -> int:
+    def _output_tokens(self) -> int:
         """Return the number of tokens generated in the current run."""
         return self._relay.run_event_count * self._spec.event_tokens
 
@@ -339,7 +331,6 @@
         engine: upstreams.Upstream,
         response: senders.Response,
     ) -> contexts.CompleteAnswer | errors.Failure | prefill.Retry | None:
-        """Relay a response until it ends."""
         head = response.head
         if head.status >= 300 or head.is_encoded or not head.is_signed:
             body = await response.body()
@@ -381,7 +372,7 @@
             if not has_begun:
                 has_begun = True
                 self._spent.made = self._relay.run_started_at - self._sent_at
-                self._means.ownership.report_started(stream)
+                self._context.owner_client.report_started(stream)
             await self._relay.forward(response.head, events)
 
     def _on_broken(
@@ -401,24 +392,20 @@
         )
 
     def _quarantined(self) -> errors.Failure:
-        failure = self._means.guard.failure(self._call)
+        failure = self._context.guard.failure(self._call)
         if self._relay.has_reached_caller:
             raise StreamBroken(failure.detail)
         return failure
 
-    def _rejected(
-        self, rejection: messages.PlacementRefused
-    ) -> errors.Failure:
+    def _rejected(self, refusal: messages.PlacementRefused) -> errors.Failure:
         if self._relay.has_reached_caller:
-            raise StreamBroken(rejection.reason)
+            raise StreamBroken(refusal.reason)
         if not self._sends.cannot_have_run:
-            return errors.Failure(errors.SEND_INTERRUPTED, rejection.reason)
-        if rejection.is_over_quota:
-            return accounts.quota_failure(
-                rejection.reason, rejection.retry_after
-            )
+            return errors.Failure(errors.SEND_INTERRUPTED, refusal.reason)
+        if refusal.is_over_quota:
+            return accounts.quota_failure(refusal.reason, refusal.retry_after)
         return contexts.retryable_failure(
-            errors.NO_TIME, rejection.reason, rejection.retry_after
+            errors.NO_TIME, refusal.reason, refusal.retry_after
         )
 
     def _failure(self) -> errors.Failure:
--- a/galenahatch/plain.py
+++ b/galenahatch/plainservices.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Plain services: one call in, one call out.
+"""Plain services: forwards each call to one upstream.
 
-A call that may be repeated is tried at each upstream in turn. A call that
-may not is claimed like a model request, sent once over a fresh connection,
-and goes on to the next upstream only if it is known not to have started.
+An idempotent call is tried on each upstream in turn. A non-idempotent call is
+claimed like a model request, sent once over a new connection, and tried on the
+next upstream only if it certainly did not start.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from aiohttp import web
 
 from galenahatch import answers
-from galenahatch import claiming as claiming_module
+from galenahatch import claimclient
 from galenahatch.core import claim
 from galenahatch.core import leaving as leaving_module
 from galenahatch import errors
@@ -43,26 +43,27 @@
 _log = logs.Log('plain')
 
 
-class Plain:
-    """Calls of plain services.
+class PlainServices:
+    """Forwards calls to plain services.
 
     Args:
-        repeatable: session for calls that may be sent again.
-        once: session for calls that may not.
-        claiming: claims keys.
-        leaving: which upstreams leave.
+        idempotent_session: HTTP session for calls that may be sent again.
+        non_idempotent_session: HTTP session for calls that may be sent only
+            once.
+        claim_client: claims idempotency keys.
+        leaving: record of the upstreams that are leaving.
     """
 
     def __init__(
         self,
-        repeatable: aiohttp.ClientSession,
-        once: aiohttp.ClientSession,
-        claiming: claiming_module.Claiming,
+        idempotent_session: aiohttp.ClientSession,
+        non_idempotent_session: aiohttp.ClientSession,
+        claim_client: claimclient.ClaimClient,
         leaving: leaving_module.LeavingUpstreams,
     ) -> None:
-        self._repeatable = repeatable
-        self._once = once
-        self._claiming = claiming
+        self._idempotent_session = idempotent_session
+        self._non_idempotent_session = non_idempotent_session
+        self._claims = claim_client
         self._leaving = leaving
 
     async def serve(
@@ -73,19 +74,19 @@
         caller: schema.Caller,
         headers: inbound.Headers,
     ) -> web.StreamResponse:
-        """Route one call and answer it."""
+        """Forward a call and return its response."""
         service = settings.plain_service(request.match_info['name'])
         if service is None:
-            return answers.refusal_of(
+            return answers.failure_response(
                 errors.Failure(errors.UNKNOWN_MODEL), headers.request
             )
-        call = _call_of(request, body)
-        if not headers.non_idempotent and not unrepeatable(service, call):
-            result = await self._try_each(service, call, headers.request)
-            return _response(result, headers.request)
+        call = _build_call(request, body)
+        if not headers.non_idempotent and not is_unrepeatable(service, call):
+            result = await self._try_upstreams(service, call, headers.request)
+            return _build_response(result, headers.request)
         if not headers.key:
             failure = errors.Failure(errors.KEY_REQUIRED)
-            return answers.refusal_of(failure, headers.request)
+            return answers.failure_response(failure, headers.request)
         return await self._serve_once(service, call, caller, headers)
 
     async def _serve_once(
@@ -98,28 +99,28 @@
         key = claim.claim_key(caller.name, headers.key)
         target = f'{service.name} {call.method} {call.path}'
         fingerprint = claim.request_fingerprint(target, call.body)
-        claimed = await self._claiming.acquire(key, fingerprint)
+        claimed = await self._claims.acquire(key, fingerprint)
         if isinstance(claimed, errors.Failure):
-            return answers.refusal_of(claimed, headers.request)
+            return answers.failure_response(claimed, headers.request)
         if isinstance(claimed, claim.Answer):
             _log.info('Answer repeated.', request=headers.request, key=key)
-            return answers.response_of(claimed, headers.request)
-        # The call goes on when its caller leaves: its answer is kept for a
-        # second arrival, and it holds no engine.
-        work = asyncio.ensure_future(
+            return answers.build_response(claimed, headers.request)
+        # The call continues when its caller disconnects: the stored answer
+        # serves a retry, and the call holds no engine.
+        task = asyncio.ensure_future(
             self._run_once(service, call, claimed, headers.request)
         )
-        result = await asyncio.shield(work)
-        return _response(result, headers.request)
+        result = await asyncio.shield(task)
+        return _build_response(result, headers.request)
 
     async def _run_once(
         self,
         service: schema.PlainService,
         call: service_client.Call,
-        claimed: claiming_module.Claimed,
+        claimed: claimclient.Claimed,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
-        if not self._claiming.dispatch(claimed):
+        if not self._claims.try_dispatch(claimed):
             return errors.Failure(errors.CLAIM_ABANDONED, retry_after=1.0)
         result = await self._send_once(service, call, request)
         if isinstance(result, service_client.Result):
@@ -129,12 +130,12 @@
                 result.content_type,
                 result.body,
             )
-            self._claiming.finish(claimed, answer)
+            self._claims.finish(claimed, answer)
         elif result.outcome is errors.Outcome.NOT_RUN:
-            self._claiming.abandon(claimed, not_started=True)
+            self._claims.abandon(claimed, not_started=True)
         else:
-            answer = answers.failed(result, request)
-            self._claiming.finish(claimed, answer)
+            answer = answers.failure_answer(result, request)
+            self._claims.finish(claimed, answer)
         return result
 
     async def _send_once(
@@ -143,36 +144,38 @@
         call: service_client.Call,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
-        """Send until an upstream may have started the call."""
+        """Try upstreams until one may have started the call."""
         result: service_client.Result | errors.Failure
         result = errors.Failure(errors.NO_ENGINE, retry_after=1.0)
         for url in self._upstreams(service):
-            result = await self._send(self._once, url, call, service, request)
+            result = await self._send(
+                self._non_idempotent_session, url, call, service, request
+            )
             if isinstance(result, service_client.Result):
                 return result
             if result.reason not in _NOT_STARTED:
                 return result
         return result
 
-    async def _try_each(
+    async def _try_upstreams(
         self,
         service: schema.PlainService,
         call: service_client.Call,
         request: ids.RequestId,
     ) -> service_client.Result | errors.Failure:
-        """Try each upstream until one answers."""
+        """Try upstreams until one answers."""
         result: service_client.Result | errors.Failure
         result = errors.Failure(errors.NO_ENGINE, retry_after=1.0)
-        worst: errors.Failure | None = None
+        started_failure: errors.Failure | None = None
         for url in self._upstreams(service):
             result = await self._send(
-                self._repeatable, url, call, service, request
+                self._idempotent_session, url, call, service, request
             )
             if isinstance(result, service_client.Result):
                 return result
             if result.reason not in _NOT_STARTED:
-                worst = result
-        return worst or result
+                started_failure = result
+        return started_failure or result
 
     async def _send(
         self,
@@ -204,7 +207,7 @@
         return result
 
     def _upstreams(self, service: schema.PlainService) -> list[str]:
-        """Return the upstreams that don't leave, in their order."""
+        """Return the upstreams that are not leaving, in configured order."""
         return [
             url
             for url in service.upstreams
@@ -214,13 +217,13 @@
         ]
 
 
-def unrepeatable(
+def is_unrepeatable(
     service: schema.PlainService, call: service_client.Call
 ) -> bool:
-    """Return whether the configuration says that a call runs only once.
+    """Return whether a configured rule makes a call non-idempotent.
 
-    The path is compared as an upstream may read it: decoded, without empty
-    or relative segments, so that no spelling slips past a rule.
+    The path is normalised as an upstream may do it (decoded, without empty or
+    relative segments), so that no alternative spelling evades a rule.
     """
     decoded = parse.unquote(call.path.partition('?')[0])
     path = posixpath.normpath('/' + decoded.lstrip('/'))
@@ -231,7 +234,7 @@
     return False
 
 
-def _call_of(request: web.Request, body: bytes) -> service_client.Call:
+def _build_call(request: web.Request, body: bytes) -> service_client.Call:
     path = '/' + request.rel_url.raw_path.split('/', 4)[-1]
     if request.query_string:
         path = f'{path}?{request.rel_url.raw_query_string}'
@@ -243,15 +246,15 @@
     )
 
 
-def _response(
+def _build_response(
     result: service_client.Result | errors.Failure, request: ids.RequestId
 ) -> web.Response:
     if isinstance(result, errors.Failure):
-        return answers.refusal_of(result, request)
+        return answers.failure_response(result, request)
     answer = claim.Answer(
         result.status,
         errors.Outcome.ANSWERED.value,
         result.content_type,
         result.body,
     )
-    return answers.response_of(answer, request)
+    return answers.build_response(answer, request)
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The task that reads the load of the engines that this scheduler owns."""
+"""Task that polls the load of the engines that this scheduler owns."""
 
 import asyncio
 import collections.abc
@@ -22,39 +22,41 @@
 from galenahatch.core import leaving as leaving_module
 from galenahatch import errors
 from galenahatch import ids
-from galenahatch import news as news_module
+from galenahatch import placementevents
 from galenahatch import schema
 from galenahatch.upstream import engine as engine_client
 
-_AT_ONCE: typing.Final = 32
+_MAX_CONCURRENT_READS: typing.Final = 32
 
 
-class Probes:
-    """Load reports and cache events.
+class LoadPoller:
+    """Polls load reports and cache events.
 
     Args:
-        client: session for engines.
-        tell: takes each report.
-        leaving: learns which engines say that they leave.
+        client: HTTP session for engines.
+        on_report: callback for each report.
+        leaving: record of the engines that report that they are leaving.
     """
 
     def __init__(
         self,
         client: aiohttp.ClientSession,
-        tell: collections.abc.Callable[[news_module.News], None],
+        on_report: collections.abc.Callable[
+            [placementevents.PlacementEvent], None
+        ],
         leaving: leaving_module.LeavingUpstreams,
     ) -> None:
         self._client = client
-        self._tell = tell
+        self._on_report = on_report
         self._leaving = leaving
-        self._since: dict[ids.EngineName, int] = {}
+        self._last_event_numbers: dict[ids.EngineName, int] = {}
         self._incarnations: dict[ids.EngineName, int] = {}
-        self._slots = asyncio.Semaphore(_AT_ONCE)
+        self._slots = asyncio.Semaphore(_MAX_CONCURRENT_READS)
 
     async def read(
         self, engines: collections.abc.Iterable[schema.Engine]
     ) -> None:
-        """Read the load of some engines at once."""
+        """Read the load of engines concurrently."""
         await asyncio.gather(*(self._read_one(e) for e in engines))
 
     async def _read_one(self, engine: schema.Engine) -> None:
@@ -62,16 +64,16 @@
             load = await engine_client.fetch_load(
                 self._client,
                 cancelling.url_of(engine),
-                self._since.get(engine.name, -1),
+                self._last_event_numbers.get(engine.name, -1),
             )
         if isinstance(load, errors.Failure):
             return
         if self._incarnations.get(engine.name) != load.incarnation:
             self._incarnations[engine.name] = load.incarnation
-            self._since[engine.name] = -1
+            self._last_event_numbers[engine.name] = -1
         if load.events:
-            self._since[engine.name] = load.events[-1].number
+            self._last_event_numbers[engine.name] = load.events[-1].number
         self._leaving.record_report(
             engine.name, load.incarnation, load.sequence, load.leaving
         )
-        self._tell(news_module.EngineReport(engine.name, load))
+        self._on_report(placementevents.EngineReport(engine.name, load))
--- a/galenahatch/test/test_placement.py
+++ b/galenahatch/test/test_placement.py
@@ -21,9 +21,9 @@
 from galenahatch import distribution
 from galenahatch import ids
 from galenahatch import messages
-from galenahatch import news
 from galenahatch import options
 from galenahatch import placement
+from galenahatch import placementevents
 from galenahatch.platform import objects
 from galenahatch.platform import table
 from galenahatch import schema
@@ -68,9 +68,9 @@
         urgency=states.Urgency.NORMAL,
         prompt_tokens=10,
         output_tokens=10,
-        patience=1.0,
+        first_token_timeout=1.0,
         blocks=(),
-        avoid=(),
+        avoided_engines=(),
         data_centre=_CENTRE,
         revision=ids.Revision(1),
     )
@@ -86,7 +86,7 @@
         objects.ObjectStore(None, ''),  # type: ignore[arg-type]
         tasks.Tasks(),
     )
-    settings.in_force.apply_if_newer(accepted, config.load(accepted.bundle))
+    settings.active.apply_if_newer(accepted, config.load(accepted.bundle))
     return settings
 
 
@@ -97,17 +97,17 @@
     assert sites is not None
     settings = _settings(accepted)
     owner = placement.Placement(
-        settings, _CENTRE, trail.Trail(), lambda entry, held: None
+        settings, _CENTRE, trail.DecisionTrail(), lambda entry, held: None
     )
     answers: list[messages.AnyMessage] = []
     running = asyncio.create_task(owner.run())
-    owner.tell(news.FromEntry(_request(1), answers.append))
+    owner.put(placementevents.EntryMessage(_request(1), answers.append))
     await asyncio.sleep(0.01)
     plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
-    refresh = news.Refresh(
+    refresh = placementevents.OwnershipUpdate(
         ids.Revision(1), plans, frozenset(plans), frozenset()
     )
-    owner.tell(refresh)
+    owner.put(refresh)
     await asyncio.sleep(0.01)
     running.cancel()
     return answers
@@ -130,17 +130,22 @@
     sites = config.load(accepted.bundle)
     assert sites is not None
     owner = placement.Placement(
-        _settings(accepted), _CENTRE, trail.Trail(), lambda entry, held: None
+        _settings(accepted),
+        _CENTRE,
+        trail.DecisionTrail(),
+        lambda entry, held: None,
     )
     plans = cells.cell_configs(sites, ids.RegionName('lombardy'))
-    owner.tell(
-        news.Refresh(ids.Revision(1), plans, frozenset(plans), frozenset())
+    owner.put(
+        placementevents.OwnershipUpdate(
+            ids.Revision(1), plans, frozenset(plans), frozenset()
+        )
     )
     name = ids.EngineName('p1')
     for incarnation, numbers, block in ((1, range(5), 7), (2, range(2), 8)):
         events = tuple(engine.CacheEvent(n, (block,)) for n in numbers)
         load = engine.Load(incarnation, 1, False, 0, 0.0, events)
-        owner.tell(news.EngineReport(name, load))
+        owner.put(placementevents.EngineReport(name, load))
     running = asyncio.create_task(owner.run())
     await asyncio.sleep(0.01)
     running.cancel()
