--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -10,18 +10,18 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Ways to keep a customer's quota over many gateways, in virtual time.
+"""Simulates methods to enforce a customer's quota over many gateways.
 
-Plays the product's buckets (`core/quotas`) at each gateway, with beats that
-take time and are lost, while gateways are killed, cut off or suspended.
-Compared are:
+Each gateway has the product's token buckets (`core/quotas`). In virtual time,
+heartbeats are delayed and lost, and gateways are killed, cut off or suspended.
+The methods are:
 
 - `owner`: the owner counts generations, gateways count plain calls;
-- `told`: each gateway counts all alone, against the levels that were told;
-- `parts`: each gateway has a fixed part of the quota, and tells nothing.
+- `told`: each gateway counts its own requests, against the reported levels;
+- `parts`: each gateway has a fixed share of the quota and reports nothing.
 
-Shows by how much a window exceeded the bound, the share that was refused
-though the limit allowed it, and the bytes that beats carried for it.
+Prints the fullest window relative to the bound, the share of requests within
+the limit that were refused, and the bytes that heartbeats carried for it.
 """
 
 import collections
@@ -38,95 +38,99 @@
 from galenahatch.core import quotas
 from galenahatch import ids
 
-STEP: typing.Final = 0.01
-"""Seconds between two looks at the clock."""
-NAME: typing.Final = ids.CustomerName('customer')
-_ENTRY_BYTES: typing.Final = len(NAME) + 11
-"""One level or one usage in a beat."""
-_CALL: typing.Final = 200.0
-"""Units of a plain call."""
-_STARTING: typing.Final = 2.0
-"""As `gateway/mesh` has it."""
+STEP_S: typing.Final = 0.01
+"""Seconds of virtual time for each step."""
+CUSTOMER: typing.Final = ids.CustomerName('customer')
+_ENTRY_BYTES: typing.Final = len(CUSTOMER) + 11
+"""Size of one level or one usage in a heartbeat."""
+_PLAIN_CALL_UNITS: typing.Final = 200.0
+"""Units that a plain call costs."""
+_STARTUP_S: typing.Final = 2.0
+"""Seconds after its start in which an owner grants the whole quota: members
+that are starting can't be told from unreachable ones. As in `gateway/mesh`."""
 BOUND: typing.Final = quotas.Bound(8.0, 0.1, 120_000.0)
 
 
-class Way(enum.Enum):
-    """Who counts."""
+class CountingMethod(enum.Enum):
+    """Method to count the use of a quota."""
 
     OWNER = 'owner'
-    TOLD = 'told'
-    PARTS = 'parts'
+    REPORTED = 'told'
+    FIXED_SHARE = 'parts'
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """What one customer asks for.
+    """The requests of one customer.
 
     Attributes:
-        rate: units a second of its quota; the burst is one second of it.
-        usual: part of the rate that it uses usually.
-        hot_x: times its usual from `hot_from` to `hot_until`.
-        at_one: whether all comes to one gateway.
-        calls: part of the units that plain calls make up.
+        rate: quota in units a second; the burst is one second of it.
+        usual_share: share of the rate that it usually requests.
+        hot_factor: multiple of its usual load from `hot_from` to `hot_until`.
+        hot_from: start of the hot period in seconds.
+        hot_until: end of the hot period in seconds.
+        uses_one_gateway: whether all requests arrive at one gateway.
+        plain_call_share: share of the units that plain calls use.
     """
 
     rate: float = 116_325.0
-    usual: float = 1 / 1.8
-    hot_x: float = 1.0
+    usual_share: float = 1 / 1.8
+    hot_factor: float = 1.0
     hot_from: float = 4.0
     hot_until: float = 16.0
-    at_one: bool = False
-    calls: float = 0.08
+    uses_one_gateway: bool = False
+    plain_call_share: float = 0.08
 
     @property
     def quota(self) -> customers.Quota:
-        """The customer's quota."""
+        """The quota of the customer."""
         return customers.Quota(self.rate, self.rate)
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """Something that happens to gateways.
+    """A fault of some gateways.
 
     Attributes:
         kind: `kill`, `cut` or `suspend`.
-        at: seconds from the start.
-        lasts: seconds.
-        share: of the gateways; the first ones for `kill` and `suspend`,
-            the last ones for `cut`.
-        apart: whether those that are cut can't reach each other either.
+        start_s: seconds from the start of the run.
+        duration_s: duration in seconds.
+        share: share of the gateways; the first ones for `kill` and
+            `suspend`, the last ones for `cut`.
+        isolates_each: whether gateways that are cut off can't reach each
+            other either.
     """
 
     kind: str
-    at: float
-    lasts: float
+    start_s: float
+    duration_s: float
     share: float
-    apart: bool = True
+    isolates_each: bool = True
 
-    def active(self, now: float) -> bool:
-        """Return whether it lasts."""
-        return self.at <= now < self.at + self.lasts
+    def is_active(self, now: float) -> bool:
+        """Return whether the fault is active."""
+        return self.start_s <= now < self.start_s + self.duration_s
 
 
 @dataclasses.dataclass
 class Result:
-    """What came of a run.
+    """The result of a run.
 
     Attributes:
-        worst: units of the fullest window, by the bound on a window.
-        refused: share of what the limit allowed that was refused.
-        bytes_a_second: that beats carried, for each gateway.
-        granted: units that ran.
+        peak_ratio: units of the fullest window, divided by the bound.
+        refused: share of the units within the limit that were refused.
+        heartbeat_bytes_per_s: bytes a second in heartbeats of each gateway.
+        granted: units of the requests that ran.
     """
 
-    worst: float
+    peak_ratio: float
     refused: float
-    bytes_a_second: float
+    heartbeat_bytes_per_s: float
     granted: float
 
 
 class _Gateway:
-    """One gateway's knowledge."""
+    """The state of one gateway."""
 
     def __init__(
         self,
@@ -134,34 +138,36 @@
         load: Load,
         bound: quotas.Bound,
         now: float,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self.number = number
-        self.order = number
-        self.group = 0
+        self.ownership_rank = number
+        self.partition = 0
         self.is_up = True
-        self.quotas = quotas.Quotas[ids.CustomerName](bound, source)
+        self.quotas = quotas.Quotas[ids.CustomerName](bound, rng)
         self.set_quota(load.quota, now)
-        self.began_at = now
-        self.beats_at = now + source.random() * members.HEARTBEAT_INTERVAL_S
-        self.heard: dict[int, float] = {}
+        self.started_at = now
+        self.next_heartbeat_at = (
+            now + rng.random() * members.HEARTBEAT_INTERVAL_S
+        )
+        self.heartbeat_times: dict[int, float] = {}
 
     def set_quota(self, quota: customers.Quota, now: float) -> None:
-        customer = customers.Customer(NAME, frozenset(), quota=quota)
-        self.quotas.configure({NAME: customer}, now)
+        customer = customers.Customer(CUSTOMER, frozenset(), quota=quota)
+        self.quotas.configure({CUSTOMER: customer}, now)
 
 
 class Fleet:
-    """Gateways that keep the quota of one customer.
+    """Gateways that enforce the quota of one customer.
 
     Args:
-        size: gateways.
-        load: what the customer asks for.
-        faults: that happen.
-        way: who counts.
-        seed: of all chance.
-        loss: share of beats that is lost.
-        bound: that all gateways together keep.
+        size: number of gateways.
+        load: the requests of the customer.
+        faults: faults to inject.
+        method: who counts the use.
+        seed: seed of all random numbers.
+        loss: share of heartbeats that are lost.
+        bound: bound that all gateways together observe.
     """
 
     def __init__(
@@ -169,7 +175,7 @@
         size: int,
         load: Load,
         faults: collections.abc.Sequence[Fault] = (),
-        way: Way = Way.OWNER,
+        method: CountingMethod = CountingMethod.OWNER,
         seed: int = 1,
         loss: float = 0.0,
         bound: quotas.Bound = BOUND,
@@ -177,56 +183,56 @@
         self._bound = bound
         self._load = load
         self._faults = faults
-        self._way = way
+        self._method = method
         self._random = random.Random(seed)
         self._loss = loss
         self._size = size
-        self._slower = max(1.0, size / members.FULL_RATE_MEMBERS)
+        self._interval_factor = max(1.0, size / members.FULL_RATE_MEMBERS)
         self.now = 0.0
         self._gateways = [
             _Gateway(number, load, bound, 0.0, self._random)
             for number in range(size)
         ]
         self._bytes = 0
-        self._asked: list[tuple[float, float, bool]] = []
+        self._requests: list[tuple[float, float, bool]] = []
         self.quota = load.quota
 
     @property
     def refused(self) -> int:
-        """Requests that were refused."""
-        return sum(not ran for _, _, ran in self._asked)
+        """Number of refused requests."""
+        return sum(not ran for _, _, ran in self._requests)
 
-    def change(self, quota: customers.Quota) -> None:
-        """Configure another quota, at all gateways."""
+    def set_quota(self, quota: customers.Quota) -> None:
+        """Change the quota at all gateways."""
         self.quota = quota
         for gateway in self._gateways:
             gateway.set_quota(quota, self.now)
 
     def run(self, until: float) -> None:
-        """Go on to some moment."""
+        """Simulate up to a time in seconds."""
         while self.now < until:
-            self.now += STEP
+            self.now += STEP_S
             self._apply_faults()
             for gateway in self._gateways:
-                if gateway.is_up and gateway.beats_at <= self.now:
-                    self._beat(gateway)
-            self._arrivals()
+                if gateway.is_up and gateway.next_heartbeat_at <= self.now:
+                    self._send_heartbeat(gateway)
+            self._generate_requests()
 
     def _apply_faults(self) -> None:
         size = self._size
         down: set[int] = set()
         groups = [0] * size
         for fault in self._faults:
-            if not fault.active(self.now):
+            if not fault.is_active(self.now):
                 continue
             count = max(1, round(fault.share * size))
             if fault.kind != 'cut':
                 down.update(range(count))
                 continue
             for number in range(size - count, size):
-                groups[number] = number if fault.apart else size
+                groups[number] = number if fault.isolates_each else size
         for gateway in self._gateways:
-            gateway.group = groups[gateway.number]
+            gateway.partition = groups[gateway.number]
             is_up = gateway.number not in down
             if is_up and not gateway.is_up and self._was_killed(gateway):
                 self._restart(gateway)
@@ -236,72 +242,82 @@
         return any(
             fault.kind == 'kill'
             and gateway.number < max(1, round(fault.share * self._size))
-            and fault.at <= self.now
+            and fault.start_s <= self.now
             for fault in self._faults
         )
 
     def _restart(self, gateway: _Gateway) -> None:
-        fresh = _Gateway(
+        restarted = _Gateway(
             gateway.number, self._load, self._bound, self.now, self._random
         )
-        fresh.group = gateway.group
-        fresh.order = 1 + max(one.order for one in self._gateways)
-        fresh.set_quota(self.quota, self.now)
-        self._gateways[gateway.number] = fresh
-
-    def _of(self, group: int) -> list[_Gateway]:
-        """Return the gateways of a group, who decides first."""
-        found = [g for g in self._gateways if g.is_up and g.group == group]
-        return sorted(found, key=lambda gateway: gateway.order)
-
-    def _beat(self, gateway: _Gateway) -> None:
-        gateway.beats_at = (
-            self.now + members.HEARTBEAT_INTERVAL_S * self._slower
+        restarted.partition = gateway.partition
+        restarted.ownership_rank = 1 + max(
+            other.ownership_rank for other in self._gateways
+        )
+        restarted.set_quota(self.quota, self.now)
+        self._gateways[gateway.number] = restarted
+
+    def _partition_members(self, partition: int) -> list[_Gateway]:
+        """Return the live gateways of a partition, with its owner first."""
+        members_of_partition = [
+            g for g in self._gateways if g.is_up and g.partition == partition
+        ]
+        return sorted(
+            members_of_partition, key=lambda gateway: gateway.ownership_rank
+        )
+
+    def _send_heartbeat(self, gateway: _Gateway) -> None:
+        gateway.next_heartbeat_at = (
+            self.now + members.HEARTBEAT_INTERVAL_S * self._interval_factor
         )
-        if self._way is Way.PARTS:
+        if self._method is CountingMethod.FIXED_SHARE:
             gateway.quotas.set_fraction(1 / self._size)
             return
-        first = self._of(gateway.group)[:2]
-        is_owner = first[0] is gateway
-        part = self._part(gateway) if is_owner else 1.0
-        gateway.quotas.set_fraction(part)
-        self._tell(gateway)
-        for other in first:
+        owners = self._partition_members(gateway.partition)[:2]
+        is_owner = owners[0] is gateway
+        fraction = self._quota_fraction(gateway) if is_owner else 1.0
+        gateway.quotas.set_fraction(fraction)
+        self._report_use(gateway)
+        for other in owners:
             if other is not gateway and self._random.random() >= self._loss:
-                other.heard[gateway.number] = self.now
+                other.heartbeat_times[gateway.number] = self.now
 
-    def _tell(self, gateway: _Gateway) -> None:
-        """Tell who decides, and who would next, what was used here."""
-        if self._way is Way.PARTS:
+    def _report_use(self, gateway: _Gateway) -> None:
+        """Report local use to the owner and its successor."""
+        if self._method is CountingMethod.FIXED_SHARE:
             return
-        untold = gateway.quotas.take_unreported()
-        for other in self._of(gateway.group)[:2]:
+        unreported = gateway.quotas.take_unreported()
+        for other in self._partition_members(gateway.partition)[:2]:
             if other is gateway or self._random.random() < self._loss:
                 continue
-            other.quotas.record_remote_use(untold, self.now)
-            low = other.quotas.low_levels(self.now)
-            self._bytes += _ENTRY_BYTES * (len(untold) + len(low))
+            other.quotas.record_remote_use(unreported, self.now)
+            low_levels = other.quotas.low_levels(self.now)
+            self._bytes += _ENTRY_BYTES * (len(unreported) + len(low_levels))
             if self._random.random() >= self._loss:
-                gateway.quotas.merge_levels(low, self.now)
+                gateway.quotas.merge_levels(low_levels, self.now)
 
-    def _part(self, gateway: _Gateway) -> float:
-        if self.now - gateway.began_at < _STARTING:
+    def _quota_fraction(self, gateway: _Gateway) -> float:
+        if self.now - gateway.started_at < _STARTUP_S:
             return 1.0
-        since = self.now - members.liveness_window(self._slower)
-        heard = sum(at >= since for at in gateway.heard.values())
-        return min(1.0, (1 + heard) / self._size)
+        since = self.now - members.liveness_window(self._interval_factor)
+        heard_count = sum(
+            at >= since for at in gateway.heartbeat_times.values()
+        )
+        return min(1.0, (1 + heard_count) / self._size)
 
-    def _arrivals(self) -> None:
+    def _generate_requests(self) -> None:
         load = self._load
         is_hot = load.hot_from <= self.now < load.hot_until
-        times = load.hot_x if is_hot else 1.0
-        units = load.rate * load.usual * times * STEP
-        for _ in range(self._poisson(units * load.calls / _CALL)):
-            self._ask(_CALL)
-        long = units * (1 - load.calls) / 10_000
-        for _ in range(self._poisson(long)):
+        factor = load.hot_factor if is_hot else 1.0
+        units = load.rate * load.usual_share * factor * STEP_S
+        for _ in range(
+            self._poisson(units * load.plain_call_share / _PLAIN_CALL_UNITS)
+        ):
+            self._request(_PLAIN_CALL_UNITS)
+        mean_generations = units * (1 - load.plain_call_share) / 10_000
+        for _ in range(self._poisson(mean_generations)):
             size = self._random.lognormvariate(9.13, 0.4)
-            self._ask(min(18_000.0, size))
+            self._request(min(18_000.0, size))
 
     def _poisson(self, mean: float) -> int:
         count, left = 0, self._random.expovariate(1.0)
@@ -310,133 +326,167 @@
             left += self._random.expovariate(1.0)
         return count
 
-    def _ask(self, units: float) -> None:
-        up = [gateway for gateway in self._gateways if gateway.is_up]
-        if not up:
+    def _request(self, units: float) -> None:
+        live_gateways = [
+            gateway for gateway in self._gateways if gateway.is_up
+        ]
+        if not live_gateways:
             return
-        gateway = up[0] if self._load.at_one else self._random.choice(up)
-        is_local = self._way is not Way.OWNER or units == _CALL
-        where = gateway if is_local else self._of(gateway.group)[0]
-        denied = where.quotas.acquire(
-            NAME, units, self.now, report_use=is_local
+        gateway = (
+            live_gateways[0]
+            if self._load.uses_one_gateway
+            else self._random.choice(live_gateways)
         )
-        if is_local and where.quotas.must_report(NAME, self._size):
-            self._tell(where)
-        self._asked.append((self.now, units, denied is None))
+        is_local = (
+            self._method is not CountingMethod.OWNER
+            or units == _PLAIN_CALL_UNITS
+        )
+        counting_gateway = (
+            gateway
+            if is_local
+            else self._partition_members(gateway.partition)[0]
+        )
+        denied = counting_gateway.quotas.acquire(
+            CUSTOMER, units, self.now, report_use=is_local
+        )
+        if is_local and counting_gateway.quotas.must_report(
+            CUSTOMER, self._size
+        ):
+            self._report_use(counting_gateway)
+        self._requests.append((self.now, units, denied is None))
 
     def result(self, since: float = 0.0) -> Result:
-        """Return what came of all, by the quota in force now.
+        """Return the result, relative to the current quota.
 
         Args:
-            since: moment from which on windows are looked at.
+            since: time in seconds; earlier requests are left out of windows.
         """
         granted = [
             (at, units)
-            for at, units, ran in self._asked
+            for at, units, ran in self._requests
             if ran and at >= since
         ]
         limit = self.quota.rate * self._bound.window + self.quota.burst
         bound = limit + self._bound.allowance(self.quota)
         return Result(
-            worst=_fullest(granted, self._bound.window) / bound,
+            peak_ratio=_peak_units(granted, self._bound.window) / bound,
             refused=self._refused_within(),
-            bytes_a_second=self._bytes / self.now / self._size,
+            heartbeat_bytes_per_s=self._bytes / self.now / self._size,
             granted=sum(units for _, units in granted),
         )
 
     def _refused_within(self) -> float:
         level, filled_at = self.quota.burst, 0.0
-        owed = refused = 0.0
-        for at, units, ran in self._asked:
-            came = self.quota.rate * (at - filled_at)
-            level, filled_at = min(self.quota.burst, level + came), at
+        allowed = refused = 0.0
+        for at, units, ran in self._requests:
+            refilled = self.quota.rate * (at - filled_at)
+            level, filled_at = min(self.quota.burst, level + refilled), at
             if units <= level:
                 level -= units
-                owed += units
+                allowed += units
                 refused += 0.0 if ran else units
-        return refused / owed if owed else 0.0
+        return refused / allowed if allowed else 0.0
 
 
-def _fullest(
+def _peak_units(
     granted: collections.abc.Iterable[tuple[float, float]], window: float
 ) -> float:
     """Return the units of the fullest window."""
-    inside: collections.deque[tuple[float, float]] = collections.deque()
-    total = worst = 0.0
+    in_window: collections.deque[tuple[float, float]] = collections.deque()
+    total = peak = 0.0
     for at, units in granted:
-        inside.append((at, units))
+        in_window.append((at, units))
         total += units
-        while inside[0][0] <= at - window:
-            total -= inside.popleft()[1]
-        worst = max(worst, total)
-    return worst
+        while in_window[0][0] <= at - window:
+            total -= in_window.popleft()[1]
+        peak = max(peak, total)
+    return peak
 
 
-SCENES: typing.Final[dict[str, tuple[Load, tuple[Fault, ...]]]] = {
+SCENARIOS: typing.Final[dict[str, tuple[Load, tuple[Fault, ...]]]] = {
     'usual': (Load(), ()),
-    'hot over all': (Load(hot_x=7.5), ()),
-    'hot at one': (Load(hot_x=7.5, at_one=True), ()),
-    'small customer, hot': (Load(rate=29_000.0, hot_x=7.5), ()),
-    'flood of calls': (Load(29_000.0, hot_x=50.0, calls=1.0), ()),
-    'burst of 2.3': (Load(hot_x=2.3, hot_until=8.0), ()),
-    'owner killed, hot': (Load(hot_x=7.5), (Fault('kill', 7.0, 3.0, 0.0),)),
+    'hot over all': (Load(hot_factor=7.5), ()),
+    'hot at one': (Load(hot_factor=7.5, uses_one_gateway=True), ()),
+    'small customer, hot': (Load(rate=29_000.0, hot_factor=7.5), ()),
+    'flood of calls': (
+        Load(29_000.0, hot_factor=50.0, plain_call_share=1.0),
+        (),
+    ),
+    'burst of 2.3': (Load(hot_factor=2.3, hot_until=8.0), ()),
+    'owner killed, hot': (
+        Load(hot_factor=7.5),
+        (Fault('kill', 7.0, 3.0, 0.0),),
+    ),
     'two owners, hot': (
-        Load(hot_x=7.5),
-        (Fault('cut', 5.0, 9.0, 0.5, apart=False),),
+        Load(hot_factor=7.5),
+        (Fault('cut', 5.0, 9.0, 0.5, isolates_each=False),),
     ),
     'third cut off, usual': (Load(), (Fault('cut', 5.0, 9.0, 0.35),)),
     'third cut off, hot': (
-        Load(hot_x=7.5),
+        Load(hot_factor=7.5),
         (Fault('cut', 5.0, 9.0, 0.35),),
     ),
     'third cut off, small, hot': (
-        Load(rate=29_000.0, hot_x=7.5),
+        Load(rate=29_000.0, hot_factor=7.5),
         (Fault('cut', 5.0, 9.0, 0.35),),
     ),
-    'all killed, hot': (Load(hot_x=7.5), (Fault('kill', 8.0, 1.0, 1.0),)),
+    'all killed, hot': (Load(hot_factor=7.5), (Fault('kill', 8.0, 1.0, 1.0),)),
     'all killed, usual': (Load(), (Fault('kill', 8.0, 1.0, 1.0),)),
     'owner suspended, hot': (
-        Load(hot_x=7.5),
+        Load(hot_factor=7.5),
         (Fault('suspend', 7.0, 4.0, 0.0),),
     ),
 }
 SIZES: typing.Final = (6, 63, 195, 410)
-_LASTS: typing.Final = 24.0
+_RUN_S: typing.Final = 24.0
 
 
 def main() -> None:
-    """Print a table of all scenes, sizes and ways."""
+    """Print a table of all scenarios, sizes and methods."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 1
     print('scene                     size  way    worst refused  B/s  us')
-    for scene, (load, faults) in SCENES.items():
+    for scenario, (load, faults) in SCENARIOS.items():
         for size in SIZES:
-            for way in Way:
-                began = time.process_time()
+            for method in CountingMethod:
+                started_at = time.process_time()
                 runs = [
-                    _play(size, load, faults, way, seed)
+                    _simulate(size, load, faults, method, seed)
                     for seed in range(1, seeds + 1)
                 ]
-                spent = time.process_time() - began
-                print(_row(scene, size, way, runs, spent / seeds), flush=True)
-
-
-def _play(
-    size: int, load: Load, faults: tuple[Fault, ...], way: Way, seed: int
+                cpu_s = time.process_time() - started_at
+                print(
+                    _row(scenario, size, method, runs, cpu_s / seeds),
+                    flush=True,
+                )
+
+
+def _simulate(
+    size: int,
+    load: Load,
+    faults: tuple[Fault, ...],
+    method: CountingMethod,
+    seed: int,
 ) -> Result:
-    fleet = Fleet(size, load, faults, way, seed, loss=0.01)
-    fleet.run(_LASTS)
+    fleet = Fleet(size, load, faults, method, seed, loss=0.01)
+    fleet.run(_RUN_S)
     return fleet.result()
 
 
 def _row(
-    scene: str, size: int, way: Way, runs: list[Result], seconds: float
+    scenario: str,
+    size: int,
+    method: CountingMethod,
+    runs: list[Result],
+    seconds: float,
 ) -> str:
-    worst = max(run.worst for run in runs)
+    peak = max(run.peak_ratio for run in runs)
     refused = sum(run.refused for run in runs) / len(runs)
-    told = sum(run.bytes_a_second for run in runs) / len(runs)
+    heartbeat_bytes = sum(run.heartbeat_bytes_per_s for run in runs) / len(
+        runs
+    )
     return (
-        f'{scene:25s} {size:4d}  {way.value:6s} {worst:.3f}   {refused:.3f}'
-        f' {told:5.0f} {seconds:5.2f}'
+        f'{scenario:25s} {size:4d}  {method.value:6s} {peak:.3f}'
+        f'   {refused:.3f} {heartbeat_bytes:5.0f} {seconds:5.2f}'
     )
 
 
--- a/galenahatch/test/test_quotas.py
+++ b/galenahatch/test/test_quotas.py
@@ -29,8 +29,8 @@
 from galenahatch import ids
 
 _NAME = ids.CustomerName('a')
-_HOT = fleets.Load(hot_x=7.5)
-_SMALL_HOT = fleets.Load(rate=29_000.0, hot_x=7.5)
+_HOT = fleets.Load(hot_factor=7.5)
+_SMALL_HOT = fleets.Load(rate=29_000.0, hot_factor=7.5)
 _LASTS = 24.0
 
 
@@ -65,10 +65,14 @@
 @pytest.mark.parametrize('at_one', [False, True])
 def test_hot_customer(size: int, load: fleets.Load, at_one: bool) -> None:
     """One that sends 7.5 times its usual has its limit and no more."""
-    hot = fleets.Load(rate=load.rate, hot_x=load.hot_x, at_one=at_one)
+    hot = fleets.Load(
+        rate=load.rate,
+        hot_factor=load.hot_factor,
+        uses_one_gateway=at_one,
+    )
     result = _played(size, hot)
-    assert result.worst <= 1
-    usual = load.rate * load.usual
+    assert result.peak_ratio <= 1
+    usual = load.rate * load.usual_share
     assert result.granted >= 0.95 * (12 * load.rate + 11 * usual)
 
 
@@ -76,8 +80,13 @@
 @pytest.mark.parametrize('at_one', [False, True])
 def test_flood_of_calls(size: int, at_one: bool) -> None:
     """Calls that come faster than beats are counted all the same."""
-    load = fleets.Load(29_000.0, hot_x=50.0, at_one=at_one, calls=1.0)
-    assert _played(size, load).worst <= 1
+    load = fleets.Load(
+        29_000.0,
+        hot_factor=50.0,
+        uses_one_gateway=at_one,
+        plain_call_share=1.0,
+    )
+    assert _played(size, load).peak_ratio <= 1
 
 
 @pytest.mark.parametrize('load', [_HOT, _SMALL_HOT])
@@ -89,15 +98,15 @@
         fleets.Fault('kill', 8.0, 1.0, 1.0),
         fleets.Fault('suspend', 7.0, 4.0, 0.0),
         fleets.Fault('cut', 5.0, 9.0, 0.35),
-        fleets.Fault('cut', 5.0, 9.0, 0.5, apart=False),
+        fleets.Fault('cut', 5.0, 9.0, 0.5, isolates_each=False),
     ],
-    ids=lambda fault: f'{fault.kind}-{fault.share}-{fault.apart}',
+    ids=lambda fault: f'{fault.kind}-{fault.share}-{fault.isolates_each}',
 )
 @pytest.mark.parametrize('size', [6, 63])
 def test_faults(size: int, load: fleets.Load, fault: fleets.Fault) -> None:
     """The bound holds whoever is killed, suspended or cut off."""
     for seed in (1, 2, 3):
-        assert _played(size, load, fault, seed=seed).worst <= 1
+        assert _played(size, load, fault, seed=seed).peak_ratio <= 1
 
 
 def test_all_killed_twice() -> None:
@@ -106,7 +115,7 @@
         fleets.Fault('kill', 6.0, 0.7, 1.0),
         fleets.Fault('kill', 9.0, 0.7, 1.0),
     )
-    assert _played(63, _HOT, *faults).worst <= 1
+    assert _played(63, _HOT, *faults).peak_ratio <= 1
 
 
 @pytest.mark.parametrize('size', [12, 63])
@@ -130,22 +139,22 @@
 @pytest.mark.parametrize('size', [6, 63])
 def test_lowered(size: int) -> None:
     """A lower limit binds one window after all gateways have it."""
-    fleet = fleets.Fleet(size, fleets.Load(hot_x=3.0, hot_until=20.0))
+    fleet = fleets.Fleet(size, fleets.Load(hot_factor=3.0, hot_until=20.0))
     fleet.run(8.0)
-    fleet.change(customers.Quota(20_000.0, 20_000.0))
+    fleet.set_quota(customers.Quota(20_000.0, 20_000.0))
     fleet.run(30.0)
-    assert fleet.result(since=8.0).worst <= 1
+    assert fleet.result(since=8.0).peak_ratio <= 1
 
 
 def test_raised_at_once() -> None:
     """A burst that was raised is there with the configuration."""
-    fleet = fleets.Fleet(6, fleets.Load(hot_x=7.5, hot_until=30.0))
+    fleet = fleets.Fleet(6, fleets.Load(hot_factor=7.5, hot_until=30.0))
     fleet.run(8.0)
     before = fleet.result().granted
-    fleet.change(customers.Quota(116_325.0, 1_000_000.0))
+    fleet.set_quota(customers.Quota(116_325.0, 1_000_000.0))
     fleet.run(12.0)
     after = fleet.result(since=8.0)
-    assert after.worst <= 1
+    assert after.peak_ratio <= 1
     assert after.granted > before
 
 
@@ -169,7 +178,7 @@
 @hypothesis.given(
     size=_SIZES,
     faults=_FAULTS,
-    hot_x=strategies.floats(1.0, 8.0),
+    hot_factor=strategies.floats(1.0, 8.0),
     rate=strategies.sampled_from([29_000.0, 116_325.0]),
     loss=strategies.floats(0.0, 0.3),
     seed=strategies.integers(0, 2**31),
@@ -177,16 +186,16 @@
 def test_bound_under_any_faults(
     size: int,
     faults: list[fleets.Fault],
-    hot_x: float,
+    hot_factor: float,
     rate: float,
     loss: float,
     seed: int,
 ) -> None:
     """The bound holds for overlapping faults, with beats that are lost."""
-    load = fleets.Load(rate=rate, hot_x=hot_x)
+    load = fleets.Load(rate=rate, hot_factor=hot_factor)
     fleet = fleets.Fleet(size, load, faults, seed=seed, loss=loss)
     fleet.run(18.0)
-    assert fleet.result().worst <= 1
+    assert fleet.result().peak_ratio <= 1
 
 
 # One bucket.
--- a/galenahatch/test/test_ratelimits.py
+++ b/galenahatch/test/test_ratelimits.py
@@ -190,15 +190,15 @@
 # The fleet, in virtual time.
 
 
-@pytest.mark.parametrize('scene', fleets.SCENES)
+@pytest.mark.parametrize('scene', fleets.SCENARIOS)
 @pytest.mark.parametrize('size', [6, 63, 195, 410])
 def test_all_gateways_together(scene: str, size: int) -> None:
     """An upstream gets what it takes, and no more, however many send."""
-    load, faults = fleets.SCENES[scene]
-    worst, used, asked = fleets.play(size, load, faults)
+    load, faults = fleets.SCENARIOS[scene]
+    worst, used, asked = fleets.simulate(size, load, faults)
     assert worst <= 1
     assert asked <= 200
-    if load.hot_x >= 2:
+    if load.hot_factor >= 2:
         assert used >= 0.85
 
 
@@ -226,7 +226,7 @@
 ) -> None:
     """The bound holds for overlapping faults."""
     load = fleets.Load(rate=rate)
-    worst, _, _ = fleets.play(size, load, faults, seed=seed)
+    worst, _, _ = fleets.simulate(size, load, faults, seed=seed)
     assert worst <= 1
 
 
