--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Slopes behind docs/CAPACITY.md: `make capacity` measures them again.
+"""Measures the slopes in docs/CAPACITY.md: `make capacity`.
 
-Each slope is measured at three or more sizes and fitted by least squares;
-the page's slopes stand in bench/slopes.json. The run fails if a slope is
-more than the stated margin above the page's. Processor time is this
-process's, or a daemon's as the kernel accounts for it.
+Each slope is measured at three or more sizes and fitted by least squares. The
+recorded slopes are in bench/slopes.json; the run fails if the largest value of
+a measurement is more than `MAX_RATIO` times the recorded one. Processor time
+is that of this process, or of a daemon as accounted by the kernel.
 """
 
 import dataclasses
@@ -44,25 +44,26 @@
 from galenahatch import states
 from galenahatch.test import deployment
 
-PAGE: typing.Final = pathlib.Path(__file__).with_name('slopes.json')
-MARGIN: typing.Final = 2.0
-"""How much larger than the page's a slope may be: machines are noisy."""
-_REPEATS: typing.Final = 3
-_SECONDS: typing.Final = 4.0
-_TICK: typing.Final = os.sysconf('SC_CLK_TCK')
+SLOPES_FILE: typing.Final = pathlib.Path(__file__).with_name('slopes.json')
+MAX_RATIO: typing.Final = 2.0
+"""Allowed ratio to the recorded value: processor times vary between runs."""
+_REPETITIONS: typing.Final = 3
+_MEASURED_S: typing.Final = 4.0
+_CLOCK_TICKS_PER_S: typing.Final = os.sysconf('SC_CLK_TCK')
 _SITE: typing.Final = ids.SiteName('s0')
 
 
 class Slope(msgspec.Struct):
-    """A fitted line.
+    """A line fitted to measurements.
 
     Attributes:
-        per_item: rise for one item more.
-        base: value at none.
-        unit: of both.
-        sizes: where it was measured.
+        per_item: increase for each item.
+        base: value without items.
+        unit: unit of all values.
+        sizes: numbers of items at which it was measured.
         values: median at each size.
-        spread: largest over smallest of the repeats, worst size.
+        spread: largest ratio, over all sizes, of the largest to the smallest
+            sample.
     """
 
     per_item: float
@@ -78,8 +79,8 @@
     samples: typing.Sequence[typing.Sequence[float]],
     unit: str,
 ) -> Slope:
-    """Fit a line through the medians of some samples."""
-    values = [statistics.median(found) for found in samples]
+    """Fit a line through the medians of the samples at each size."""
+    values = [statistics.median(repeated) for repeated in samples]
     line = statistics.linear_regression(sizes, values)
     spread = max(max(f) / max(min(f), 1e-12) for f in samples)
     return Slope(line.slope, line.intercept, unit, list(sizes), values, spread)
@@ -96,7 +97,7 @@
     )
 
 
-def _cell(engines: int) -> cell_module.Cell:
+def _create_cell(engines: int) -> cell_module.Cell:
     service = schema.ModelService(ids.ServiceName('m0'), 'm')
     cell = cell_module.Cell(service, random.Random(1))
     half = engines // 2
@@ -107,7 +108,7 @@
     return cell
 
 
-def _request(number: int) -> messages.PlaceRequest:
+def _place_request(number: int) -> messages.PlaceRequest:
     return messages.PlaceRequest(
         request=ids.RequestId(f'r{number:019d}'),
         stream=ids.StreamId(f'r{number:019d}.1'),
@@ -125,72 +126,76 @@
     )
 
 
-def _decision_seconds(engines: int, queued: int) -> float:
-    """Return processor seconds for each decision taken."""
-    cell = _cell(engines)
+def _seconds_per_decision(engines: int, queue_length: int) -> float:
+    """Return the processor seconds for each decision."""
+    cell = _create_cell(engines)
     now = 1000.0
     number = 0
-    while cell.queue_length < queued:
-        cell.submit(_request(number), 1.0, now)
+    while cell.queue_length < queue_length:
+        cell.submit(_place_request(number), 1.0, now)
         number += 1
-    rounds = 300
-    # About 0.7 of what the engines carry, so that reservations are few.
-    step = 0.18 / engines
-    decided = 0
-    began = time.process_time()
-    for _ in range(rounds):
-        now += step
-        cell.submit(_request(number), 1.0, now)
+    round_count = 300
+    # About 0.7 of the capacity of the engines, so that reservations are few.
+    interval_s = 0.18 / engines
+    decision_count = 0
+    started_at = time.process_time()
+    for _ in range(round_count):
+        now += interval_s
+        cell.submit(_place_request(number), 1.0, now)
         number += 1
         for decision in cell.decide(now):
-            decided += 1
+            decision_count += 1
             stream = decision.answer.stream
             cell.record_progress(
                 messages.Progress(stream, states.Stage.TRANSFER), now
             )
             cell.release(messages.Release(stream, None, 100, 0.03), now)
-    return (time.process_time() - began) / decided
+    return (time.process_time() - started_at) / decision_count
 
 
 def decision_by_engines() -> Slope:
-    """Processor time of a decision by engines in the cell."""
+    """Measure the processor time of a decision by engines in the cell."""
     sizes = (10, 32, 64, 300, 1500)
     samples = [
-        [_decision_seconds(n, 0) for _ in range(_REPEATS)] for n in sizes
+        [_seconds_per_decision(n, 0) for _ in range(_REPETITIONS)]
+        for n in sizes
     ]
     return fit(sizes, samples, 's')
 
 
 def decision_by_queue() -> Slope:
-    """Processor time of a decision by requests that wait."""
+    """Measure the processor time of a decision by waiting requests."""
     sizes = (10, 100, 1000, 4000)
     samples = [
-        [_decision_seconds(32, n) for _ in range(_REPEATS)] for n in sizes
+        [_seconds_per_decision(32, n) for _ in range(_REPETITIONS)]
+        for n in sizes
     ]
     return fit(sizes, samples, 's')
 
 
-def _bytes_of(make: typing.Callable[[int], typing.Any], count: int) -> int:
+def _memory_bytes(
+    create: typing.Callable[[int], typing.Any], count: int
+) -> int:
     gc.collect()
     tracemalloc.start()
-    kept = make(count)
+    created = create(count)
     gc.collect()
-    used, _ = tracemalloc.get_traced_memory()
+    traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
-    return used
+    del created
+    return traced_bytes
 
 
-def _reservations(count: int) -> cell_module.Cell:
-    cell = _cell(64)
+def _cell_with_reservations(count: int) -> cell_module.Cell:
+    cell = _create_cell(64)
     report = messages.HeldReport(
-        ids.MemberId('entry/10.0.0.1:8080'), 1, _held(count)
+        ids.MemberId('entry/10.0.0.1:8080'), 1, _held_streams(count)
     )
     cell.reconcile(report, 0.0)
     return cell
 
 
-def _held(count: int) -> tuple[messages.Held, ...]:
+def _held_streams(count: int) -> tuple[messages.Held, ...]:
     return tuple(
         messages.Held(
             stream=ids.StreamId(f'r{i:019d}.1'),
@@ -206,57 +211,61 @@
     )
 
 
-def _watched(count: int) -> watch.StreamWatch:
-    kept = watch.StreamWatch()
-    kept.add(ids.MemberId('entry/10.0.0.1:8080'), 1, _held(count))
-    return kept
+def _stream_watch(count: int) -> watch.StreamWatch:
+    created = watch.StreamWatch()
+    created.add(ids.MemberId('entry/10.0.0.1:8080'), 1, _held_streams(count))
+    return created
 
 
 def reservation_bytes() -> Slope:
-    """Memory of a reservation at its owner."""
+    """Measure the memory of a reservation at its owner."""
     sizes = (200, 1000, 5000)
     samples = [
-        [float(_bytes_of(_reservations, n)) for _ in range(_REPEATS)]
+        [
+            float(_memory_bytes(_cell_with_reservations, n))
+            for _ in range(_REPETITIONS)
+        ]
         for n in sizes
     ]
     return fit(sizes, samples, 'B')
 
 
 def watched_bytes() -> Slope:
-    """Memory of a watched stream."""
+    """Measure the memory of a watched stream."""
     sizes = (200, 1000, 5000)
     samples = [
-        [float(_bytes_of(_watched, n)) for _ in range(_REPEATS)] for n in sizes
+        [float(_memory_bytes(_stream_watch, n)) for _ in range(_REPETITIONS)]
+        for n in sizes
     ]
     return fit(sizes, samples, 'B')
 
 
 def report_bytes() -> Slope:
-    """Size of a report by attempts in flight."""
+    """Measure the size of a report by attempts in flight."""
     sizes = (1, 20, 100)
 
     def size(count: int) -> float:
         report = messages.HeldReport(
-            ids.MemberId('entry/10.0.0.1:8080'), 1, _held(count)
+            ids.MemberId('entry/10.0.0.1:8080'), 1, _held_streams(count)
         )
         return float(len(messages.encode(report)))
 
     return fit(sizes, [[size(n)] for n in sizes], 'B')
 
 
-def bundle_of(engines: int, sites: int, callers: int) -> schema.Bundle:
-    """Return a configuration of some size."""
-    parts = [
+def create_bundle(engines: int, sites: int, callers: int) -> schema.Bundle:
+    """Create a configuration of a given size."""
+    toml_parts = [
         f'[[sites]]\nname="s{s}"\nregion="r{s % 5}"\ndata_centres=["dc{s}"]\n'
         for s in range(sites)
     ]
     services = 23
-    parts += [
+    toml_parts += [
         f'[[services]]\nname="m{m}"\nmodel="m{m}"\n' for m in range(services)
     ]
     for number in range(engines):
         role = 'prefill' if number % 2 else 'decode'
-        parts.append(
+        toml_parts.append(
             f'[[engines]]\nname="e{number}"\n'
             f'service="m{number // 2 % services}"\nrole="{role}"\n'
             f'data_centre="dc{number % sites}"\n'
@@ -264,25 +273,27 @@
         )
     for number in range(callers):
         digest = hashlib.sha256(str(number).encode()).hexdigest()
-        parts.append(
+        toml_parts.append(
             f'[[callers]]\nname="c{number}"\ntoken_sha256="{digest}"\n'
         )
-    return schema.Bundle('\n'.join(parts), {f's{s}': '' for s in range(sites)})
+    return schema.Bundle(
+        '\n'.join(toml_parts), {f's{s}': '' for s in range(sites)}
+    )
 
 
 def change_seconds() -> Slope:
-    """Processor time of taking a change, by engines declared."""
+    """Measure the processor time to apply a change, by declared engines."""
     sizes = (100, 500, 1500)
 
-    def taken(engines: int) -> float:
-        bundle = bundle_of(engines, 16, engines * 660 // 1500)
-        began = time.process_time()
+    def apply_seconds(engines: int) -> float:
+        bundle = create_bundle(engines, 16, engines * 660 // 1500)
+        started_at = time.process_time()
         sites = config.load(bundle)
         assert sites is not None
         cells.cell_configs(sites, ids.RegionName('r0'))
-        return time.process_time() - began
+        return time.process_time() - started_at
 
-    samples = [[taken(n) for _ in range(_REPEATS)] for n in sizes]
+    samples = [[apply_seconds(n) for _ in range(_REPETITIONS)] for n in sizes]
     return fit(sizes, samples, 's')
 
 
@@ -290,15 +301,15 @@
     """Return the processor seconds that a process has used."""
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().rsplit(') ', 1)[1]
     user, system = fields.split()[11:13]
-    return (int(user) + int(system)) / _TICK
+    return (int(user) + int(system)) / _CLOCK_TICKS_PER_S
 
 
-def _load_of(pid: int, work: typing.Callable[[], None]) -> float:
-    """Return the share of a core that a process uses during some work."""
-    before = cpu_seconds(pid)
-    began = time.monotonic()
-    work()
-    return (cpu_seconds(pid) - before) / (time.monotonic() - began)
+def _core_share(pid: int, call: typing.Callable[[], None]) -> float:
+    """Return the share of a core that a process uses during a call."""
+    cpu_before = cpu_seconds(pid)
+    started_at = time.monotonic()
+    call()
+    return (cpu_seconds(pid) - cpu_before) / (time.monotonic() - started_at)
 
 
 class _Members:
@@ -314,27 +325,32 @@
             socket.connect(f'tcp://{running.addresses[0]}:{port}')
             self._sockets.append((number, socket))
 
-    def beat(self, rate: float, seconds: float) -> None:
-        """Send heartbeats and empty reports at a rate for each member."""
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
-            began = time.monotonic()
+    def send_heartbeats(self, rate: float, seconds: float) -> None:
+        """Send heartbeats and empty reports for each member.
+
+        Args:
+            rate: heartbeats a second of each member.
+            seconds: duration.
+        """
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
+            started_at = time.monotonic()
             for number, socket in self._sockets:
                 self._send(number, socket)
                 while socket.poll(0):
                     socket.recv()
-            time.sleep(max(0.0, 1 / rate - (time.monotonic() - began)))
+            time.sleep(max(0.0, 1 / rate - (time.monotonic() - started_at)))
 
     def _send(self, number: int, socket: zmq.Socket[bytes]) -> None:
         member = ids.MemberId(f'entry/10.0.{number // 200}.{number % 200}:1')
-        beat = messages.Heartbeat(
+        heartbeat = messages.Heartbeat(
             member,
             1,
             ids.DataCentre('zogno'),
             states.Standing.LIVE,
             ids.Revision(1),
         )
-        socket.send(messages.encode(beat))
+        socket.send(messages.encode(heartbeat))
         socket.send(messages.encode(messages.HeldReport(member, 1, ())))
 
     def close(self) -> None:
@@ -345,7 +361,7 @@
 
 
 def heartbeat_seconds() -> Slope:
-    """Share of a scheduler's core by heartbeats (with reports) a second."""
+    """Measure a scheduler's core share by heartbeats and reports a second."""
     sizes = (0, 20, 60, 120)
     samples = []
     with deployment.Deployment(vms=1) as running:
@@ -353,35 +369,41 @@
         for count in sizes:
             members = _Members(running, count)
 
-            def work(members: _Members = members) -> None:
-                members.beat(1.0, _SECONDS)
+            def send_heartbeats(members: _Members = members) -> None:
+                members.send_heartbeats(1.0, _MEASURED_S)
 
-            work()
-            samples.append([_load_of(pid, work) for _ in range(_REPEATS)])
+            send_heartbeats()
+            samples.append(
+                [
+                    _core_share(pid, send_heartbeats)
+                    for _ in range(_REPETITIONS)
+                ]
+            )
             members.close()
     return fit(sizes, samples, 'share of a core')
 
 
-def _idle_loads(pid: int) -> list[float]:
-    """Return the shares of a core that a process uses by itself."""
+def _idle_core_shares(pid: int) -> list[float]:
+    """Return the shares of a core that a process uses without load."""
     return [
-        _load_of(pid, lambda: time.sleep(_SECONDS)) for _ in range(_REPEATS)
+        _core_share(pid, lambda: time.sleep(_MEASURED_S))
+        for _ in range(_REPETITIONS)
     ]
 
 
 def entry_idle() -> Slope:
-    """Share of an entry's core by schedulers that it is linked to."""
+    """Measure the core share of an entry by its connected schedulers."""
     sizes = (1, 3, 6)
     samples = []
     for count in sizes:
         with deployment.Deployment(vms=count) as running:
             pid = running.daemons['entry0'].pid
-            samples.append(_idle_loads(pid))
+            samples.append(_idle_core_shares(pid))
     return fit(sizes, samples, 'share of a core')
 
 
 def probe_seconds() -> Slope:
-    """Share of a scheduler's core by engines that it reads each second."""
+    """Measure a scheduler's core share by engines polled each second."""
     sizes = (2, 10, 20)
     samples = []
     for count in sizes:
@@ -393,63 +415,70 @@
         options = {'load-poll': '1.0'}
         with deployment.Deployment(1, specs, options=options) as running:
             pid = running.daemons['scheduler0'].pid
-            samples.append(_idle_loads(pid))
+            samples.append(_idle_core_shares(pid))
     return fit(sizes, samples, 'share of a core')
 
 
 def configuration_bytes() -> Slope:
-    """Memory of a configuration by engines declared."""
+    """Measure the memory of a configuration by declared engines."""
     sizes = (100, 500, 1500)
     samples = []
     for count in sizes:
-        bundle = bundle_of(count, 16, count * 660 // 1500)
+        bundle = create_bundle(count, 16, count * 660 // 1500)
 
-        def make(_: int, bundle: schema.Bundle = bundle) -> typing.Any:
+        def create(_: int, bundle: schema.Bundle = bundle) -> typing.Any:
             sites = config.load(bundle)
             assert sites is not None
             return sites, cells.cell_configs(sites, ids.RegionName('r0'))
 
-        samples.append([float(_bytes_of(make, 0))])
+        samples.append([float(_memory_bytes(create, 0))])
     return fit(sizes, samples, 'B')
 
 
 @dataclasses.dataclass(frozen=True)
-class Measure:
-    """A slope to measure."""
+class Measurement:
+    """A named function that measures a slope."""
 
     name: str
     run: typing.Callable[[], Slope]
 
 
-MEASURES: typing.Final = (
-    Measure('decision_by_engines', decision_by_engines),
-    Measure('decision_by_queue', decision_by_queue),
-    Measure('reservation_bytes', reservation_bytes),
-    Measure('watched_bytes', watched_bytes),
-    Measure('report_bytes', report_bytes),
-    Measure('change_seconds', change_seconds),
-    Measure('configuration_bytes', configuration_bytes),
-    Measure('heartbeat_seconds', heartbeat_seconds),
-    Measure('entry_idle', entry_idle),
-    Measure('probe_seconds', probe_seconds),
+MEASUREMENTS: typing.Final = (
+    Measurement('decision_by_engines', decision_by_engines),
+    Measurement('decision_by_queue', decision_by_queue),
+    Measurement('reservation_bytes', reservation_bytes),
+    Measurement('watched_bytes', watched_bytes),
+    Measurement('report_bytes', report_bytes),
+    Measurement('change_seconds', change_seconds),
+    Measurement('configuration_bytes', configuration_bytes),
+    Measurement('heartbeat_seconds', heartbeat_seconds),
+    Measurement('entry_idle', entry_idle),
+    Measurement('probe_seconds', probe_seconds),
 )
 
 
 def main(args: list[str]) -> int:
-    """Measure; `write` keeps the slopes, otherwise they are compared."""
-    page: dict[str, Slope] = {}
-    if PAGE.exists():
-        page = msgspec.json.decode(PAGE.read_bytes(), type=dict[str, Slope])
-    found: dict[str, Slope] = {}
-    worse = []
+    """Measure slopes and compare them with the recorded ones.
+
+    Args:
+        args: names of measurements, all if none; `write` records the slopes
+            instead of comparing them.
+    """
+    recorded: dict[str, Slope] = {}
+    if SLOPES_FILE.exists():
+        recorded = msgspec.json.decode(
+            SLOPES_FILE.read_bytes(), type=dict[str, Slope]
+        )
+    slopes: dict[str, Slope] = {}
+    exceeded = []
     names = [arg for arg in args if arg != 'write']
-    for measure in MEASURES:
-        if names and measure.name not in names:
+    for measurement in MEASUREMENTS:
+        if names and measurement.name not in names:
             continue
-        slope = measure.run()
-        found[measure.name] = slope
+        slope = measurement.run()
+        slopes[measurement.name] = slope
         print(
-            f'{measure.name}: {slope.per_item:.3g} {slope.unit} an item, '
+            f'{measurement.name}: {slope.per_item:.3g} {slope.unit} an item, '
             f'{slope.base:.3g} at none; spread {slope.spread:.2f}; '
             + ' '.join(
                 f'{s:g}:{v:.3g}'
@@ -457,18 +486,20 @@
             ),
             flush=True,
         )
-        before = page.get(measure.name)
-        largest = max(slope.values)
-        if before and largest > MARGIN * max(before.values):
-            worse.append(measure.name)
+        recorded_slope = recorded.get(measurement.name)
+        largest_value = max(slope.values)
+        if recorded_slope and largest_value > MAX_RATIO * max(
+            recorded_slope.values
+        ):
+            exceeded.append(measurement.name)
     if 'write' in args:
-        page.update(found)
-        data = {name: msgspec.to_builtins(s) for name, s in page.items()}
-        PAGE.write_text(json.dumps(data, indent=1) + '\n')
+        recorded.update(slopes)
+        data = {name: msgspec.to_builtins(s) for name, s in recorded.items()}
+        SLOPES_FILE.write_text(json.dumps(data, indent=1) + '\n')
         return 0
-    for name in worse:
-        print(f'{name}: more than {MARGIN} times the page')
-    return int(bool(worse))
+    for name in exceeded:
+        print(f'{name}: more than {MAX_RATIO} times the page')
+    return int(bool(exceeded))
 
 
 if __name__ == '__main__':
--- a/bench/path.py
+++ b/bench/path.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What the path adds: entry and scheduler against the engines straight.
+"""Measures the overhead of the entry and the scheduler.
 
-A client streams completions through an entry, and straight from the same
-stand-in engines, in turn within one run, and compares the time to the
-first token and between tokens. Then the entry's processor time is read at
-several loads and fitted to requests and tokens.
+A client streams completions alternately through an entry and directly from
+the same stand-in engines, and compares the time to the first token and the
+time between tokens. Then the processor time of the entry and of the scheduler
+is measured at several loads and fitted to requests and tokens.
 """
 
 import asyncio
@@ -33,13 +33,13 @@
 from galenahatch.test import deployment
 from galenahatch.test.standin import model
 
-_ROUNDS: typing.Final = 60
-_TOKENS: typing.Final = 40
+_COMPARED_PAIRS: typing.Final = 60
+_OUTPUT_TOKENS: typing.Final = 40
 _LOADS: typing.Final = ((4, 40), (8, 40), (16, 40), (8, 120))
-_SECONDS: typing.Final = 6.0
-_CLIENTS: typing.Final = 3
-_WIDTH: typing.Final = 40
-_FAST: typing.Final = {
+_RUN_S: typing.Final = 6.0
+_CLIENT_PROCESSES: typing.Final = 3
+_CONCURRENT_REQUESTS: typing.Final = 40
+_FAST_ENGINE: typing.Final = {
     'places': 64,
     'step': 0.010,
     'step_per_stream': 0.0,
@@ -49,30 +49,38 @@
 
 @dataclasses.dataclass(frozen=True)
 class Timing:
-    """Seconds to the first token and between tokens."""
+    """Latency of one completion.
 
-    first: float
-    between: float
+    Attributes:
+        first_token_s: seconds to the first token.
+        token_interval_s: mean seconds between tokens.
+    """
 
+    first_token_s: float
+    token_interval_s: float
 
-async def _timed(
-    lines: aiohttp.StreamReader, began: float, mark: bytes
+
+async def _read_timing(
+    lines: aiohttp.StreamReader, started_at: float, marker: bytes
 ) -> Timing:
-    times = []
+    arrival_times = []
     async for line in lines:
-        if mark in line:
-            times.append(time.monotonic())
-    spread = times[-1] - times[0]
-    return Timing(times[0] - began, spread / max(1, len(times) - 1))
+        if marker in line:
+            arrival_times.append(time.monotonic())
+    duration_s = arrival_times[-1] - arrival_times[0]
+    return Timing(
+        arrival_times[0] - started_at,
+        duration_s / max(1, len(arrival_times) - 1),
+    )
 
 
-async def _straight(
+async def _call_engines(
     client: aiohttp.ClientSession,
     running: deployment.Deployment,
     prompt: str,
     stream: str,
 ) -> Timing:
-    began = time.monotonic()
+    started_at = time.monotonic()
     call = {
         'stream': stream,
         'prompt': prompt,
@@ -80,26 +88,26 @@
         'priority': 1,
     }
     url = running.urls['p1'] + '/prefill'
-    async with client.post(url, data=msgspec.json.encode(call)) as done:
-        await done.read()
+    async with client.post(url, data=msgspec.json.encode(call)) as response:
+        await response.read()
     body = {
         'stream': stream,
         'source': running.urls['p1'],
-        'max_tokens': _TOKENS,
+        'max_tokens': _OUTPUT_TOKENS,
         'priority': 1,
     }
     url = running.urls['d1'] + '/decode'
-    async with client.post(url, data=msgspec.json.encode(body)) as answer:
-        return await _timed(answer.content, began, b'"text"')
+    async with client.post(url, data=msgspec.json.encode(body)) as response:
+        return await _read_timing(response.content, started_at, b'"text"')
 
 
-async def _through(
+async def _call_entry(
     client: aiohttp.ClientSession,
     entry: str,
     prompt: str,
-    tokens: int = _TOKENS,
+    tokens: int = _OUTPUT_TOKENS,
 ) -> Timing:
-    began = time.monotonic()
+    started_at = time.monotonic()
     body = {
         'model': 'log-reader',
         'prompt': prompt,
@@ -108,57 +116,81 @@
     }
     url = entry + '/v1/completions'
     headers = {'Authorization': f'Bearer {deployment.TOKEN}'}
-    async with client.post(url, json=body, headers=headers) as answer:
-        assert answer.status == 200, await answer.text()
-        return await _timed(answer.content, began, b'"finish_reason":null')
+    async with client.post(url, json=body, headers=headers) as response:
+        assert response.status == 200, await response.text()
+        return await _read_timing(
+            response.content, started_at, b'"finish_reason":null'
+        )
 
 
-async def _compare(running: deployment.Deployment) -> None:
-    straight = []
-    through = []
+async def _print_comparison(running: deployment.Deployment) -> None:
+    direct = []
+    routed = []
     async with aiohttp.ClientSession() as client:
-        for number in range(_ROUNDS):
+        for number in range(_COMPARED_PAIRS):
             prompt = f'pair {number} ' * 40
-            one = await _straight(client, running, prompt, f's{number}.1')
-            straight.append(one)
-            through.append(await _through(client, running.entry_url(), prompt))
-    pairs = list(zip(through, straight, strict=True))
-    first = [t.first / s.first for t, s in pairs]
-    between = [t.between / s.between for t, s in pairs]
-    added = [(t.first - s.first) * 1000 for t, s in pairs]
+            timing = await _call_engines(
+                client, running, prompt, f's{number}.1'
+            )
+            direct.append(timing)
+            routed.append(
+                await _call_entry(client, running.entry_url(), prompt)
+            )
+    timings = list(zip(routed, direct, strict=True))
+    first_token_ratios = [
+        t.first_token_s / s.first_token_s for t, s in timings
+    ]
+    token_interval_ratios = [
+        t.token_interval_s / s.token_interval_s for t, s in timings
+    ]
+    added_ms = [(t.first_token_s - s.first_token_s) * 1000 for t, s in timings]
     print(
-        f'first token, through / straight: {_spread(first)}; '
-        f'added {statistics.median(added):.2f} ms'
+        'first token, through / straight: '
+        f'{_format_spread(first_token_ratios)}; '
+        f'added {statistics.median(added_ms):.2f} ms'
+    )
+    print(
+        'between tokens, through / straight: '
+        f'{_format_spread(token_interval_ratios)}'
     )
-    print(f'between tokens, through / straight: {_spread(between)}')
 
 
-def _spread(values: list[float]) -> str:
-    cuts = statistics.quantiles(values, n=10)
-    middle = statistics.median(values)
-    return f'median {middle:.3f} (tenths {cuts[0]:.3f} to {cuts[-1]:.3f})'
+def _format_spread(values: list[float]) -> str:
+    deciles = statistics.quantiles(values, n=10)
+    median = statistics.median(values)
+    return (
+        f'median {median:.3f} (tenths {deciles[0]:.3f} to {deciles[-1]:.3f})'
+    )
 
 
 @dataclasses.dataclass
 class _Sample:
-    """What an entry did in some time."""
+    """Load and processor use of a daemon.
+
+    Attributes:
+        requests: requests a second.
+        tokens: tokens a second.
+        core_share: share of a core that the daemon used.
+    """
 
     requests: float = 0.0
     tokens: float = 0.0
-    share: float = 0.0
+    core_share: float = 0.0
 
 
-async def _send_for(entry: str, width: int, tokens: int) -> _Sample:
-    """Keep some requests in flight and count."""
+async def _run_load(entry: str, concurrency: int, tokens: int) -> _Sample:
+    """Keep a number of requests in flight, and return their rates."""
     sample = _Sample()
-    until = time.monotonic() + _SECONDS
-    began = time.monotonic()
+    deadline = time.monotonic() + _RUN_S
+    started_at = time.monotonic()
 
-    async def one(client: aiohttp.ClientSession, number: int) -> None:
+    async def send_requests(
+        client: aiohttp.ClientSession, number: int
+    ) -> None:
         count = 0
-        while time.monotonic() < until:
-            prompt = f'load {number} {count} {width} {tokens}'
-            await _through(client, entry, prompt, tokens)
+        while time.monotonic() < deadline:
+            prompt = f'load {number} {count} {concurrency} {tokens}'
+            await _call_entry(client, entry, prompt, tokens)
             length, _ = model.length_of(prompt, tokens)
             sample.requests += 1
             sample.tokens += length
@@ -166,91 +198,99 @@
 
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as client:
-        await asyncio.gather(*(one(client, n) for n in range(width)))
-    seconds = time.monotonic() - began
+        await asyncio.gather(
+            *(send_requests(client, n) for n in range(concurrency))
+        )
+    seconds = time.monotonic() - started_at
     sample.requests /= seconds
     sample.tokens /= seconds
     return sample
 
 
-def _slopes(running: deployment.Deployment) -> None:
+def _print_slopes(running: deployment.Deployment) -> None:
     samples: dict[str, list[_Sample]] = {'entry0': [], 'scheduler0': []}
-    for width, tokens in _LOADS:
-        before = {n: _cpu(running, n) for n in samples}
-        began = time.monotonic()
-        found = asyncio.run(_send_for(running.entry_url(), width, tokens))
-        seconds = time.monotonic() - began
-        for name, kept in samples.items():
-            share = (_cpu(running, name) - before[name]) / seconds
-            kept.append(_Sample(found.requests, found.tokens, share))
+    for concurrency, tokens in _LOADS:
+        before = {n: _cpu_seconds(running, n) for n in samples}
+        started_at = time.monotonic()
+        load = asyncio.run(_run_load(running.entry_url(), concurrency, tokens))
+        seconds = time.monotonic() - started_at
+        for name, daemon_samples in samples.items():
+            core_share = (_cpu_seconds(running, name) - before[name]) / seconds
+            daemon_samples.append(
+                _Sample(load.requests, load.tokens, core_share)
+            )
             print(
-                f'{name}: {found.requests:.1f} requests/s, '
-                f'{found.tokens:.0f} tokens/s, {share:.3f} of a core'
+                f'{name}: {load.requests:.1f} requests/s, '
+                f'{load.tokens:.0f} tokens/s, {core_share:.3f} of a core'
             )
-    for name, kept in samples.items():
-        by_request, by_token = _fit(kept)
+    for name, daemon_samples in samples.items():
+        seconds_per_request, seconds_per_token = _fit_cpu_slopes(
+            daemon_samples
+        )
         print(
-            f'{name}: {by_request * 1e3:.2f} ms a request, '
-            f'{by_token * 1e6:.1f} us a token'
+            f'{name}: {seconds_per_request * 1e3:.2f} ms a request, '
+            f'{seconds_per_token * 1e6:.1f} us a token'
         )
 
 
-def _carried(running: deployment.Deployment) -> None:
-    """Measure what one entry carries when it is the bottleneck."""
-    before = _cpu(running, 'entry0')
-    began = time.monotonic()
-    with concurrent.futures.ProcessPoolExecutor(_CLIENTS) as pool:
-        jobs = [
-            pool.submit(_send_from, running.entry_url(), number)
-            for number in range(_CLIENTS)
+def _print_single_entry_throughput(running: deployment.Deployment) -> None:
+    """Print the throughput of one entry that is the bottleneck."""
+    before = _cpu_seconds(running, 'entry0')
+    started_at = time.monotonic()
+    with concurrent.futures.ProcessPoolExecutor(_CLIENT_PROCESSES) as pool:
+        futures = [
+            pool.submit(_run_load_process, running.entry_url(), number)
+            for number in range(_CLIENT_PROCESSES)
         ]
-        samples = [job.result() for job in jobs]
-    share = (_cpu(running, 'entry0') - before) / (time.monotonic() - began)
+        samples = [future.result() for future in futures]
+    core_share = (_cpu_seconds(running, 'entry0') - before) / (
+        time.monotonic() - started_at
+    )
     print(
         f'one entry carried {sum(s.requests for s in samples):.0f} requests/s '
         f'and {sum(s.tokens for s in samples):.0f} tokens/s '
-        f'with {share:.2f} of a core'
+        f'with {core_share:.2f} of a core'
     )
 
 
-def _send_from(entry: str, number: int) -> _Sample:
-    return asyncio.run(_send_for(entry, _WIDTH, 60 + number))
+def _run_load_process(entry: str, number: int) -> _Sample:
+    return asyncio.run(_run_load(entry, _CONCURRENT_REQUESTS, 60 + number))
 
 
-def _cpu(running: deployment.Deployment, name: str) -> float:
+def _cpu_seconds(running: deployment.Deployment, name: str) -> float:
     pid = running.daemons[name].pid
     return capacity.cpu_seconds(pid)
 
 
-def _fit(samples: list[_Sample]) -> tuple[float, float]:
-    """Fit share = a * requests + b * tokens by least squares."""
-    rr = sum(s.requests**2 for s in samples)
-    tt = sum(s.tokens**2 for s in samples)
-    rt = sum(s.requests * s.tokens for s in samples)
-    rs = sum(s.requests * s.share for s in samples)
-    ts = sum(s.tokens * s.share for s in samples)
-    determinant = rr * tt - rt * rt
-    by_request = (rs * tt - ts * rt) / determinant
-    by_token = (ts * rr - rs * rt) / determinant
-    return by_request, by_token
+def _fit_cpu_slopes(samples: list[_Sample]) -> tuple[float, float]:
+    """Fit core_share = a * requests + b * tokens by least squares."""
+    sum_rr = sum(s.requests**2 for s in samples)
+    sum_tt = sum(s.tokens**2 for s in samples)
+    sum_rt = sum(s.requests * s.tokens for s in samples)
+    sum_rs = sum(s.requests * s.core_share for s in samples)
+    sum_ts = sum(s.tokens * s.core_share for s in samples)
+    determinant = sum_rr * sum_tt - sum_rt * sum_rt
+    seconds_per_request = (sum_rs * sum_tt - sum_ts * sum_rt) / determinant
+    seconds_per_token = (sum_ts * sum_rr - sum_rs * sum_rt) / determinant
+    return seconds_per_request, seconds_per_token
 
 
 def main() -> int:
-    """Measure and print."""
+    """Run all measurements and print their results."""
     engines = (
-        deployment.EngineSpec('p1', 'prefill', params=_FAST),
-        deployment.EngineSpec('d1', 'decode', params=_FAST),
+        deployment.EngineSpec('p1', 'prefill', params=_FAST_ENGINE),
+        deployment.EngineSpec('d1', 'decode', params=_FAST_ENGINE),
     )
     with deployment.Deployment(1, engines) as running:
-        asyncio.run(_compare(running))
-        _slopes(running)
-    more = [
-        deployment.EngineSpec(f'{role[0]}{number}', role, params=_FAST)
+        asyncio.run(_print_comparison(running))
+        _print_slopes(running)
+    engine_specs = [
+        deployment.EngineSpec(f'{role[0]}{number}', role, params=_FAST_ENGINE)
         for role in ('prefill', 'decode')
-        for number in range(1, _CLIENTS + 1)
+        for number in range(1, _CLIENT_PROCESSES + 1)
     ]
-    with deployment.Deployment(1, more) as running:
-        _carried(running)
+    with deployment.Deployment(1, engine_specs) as running:
+        _print_single_entry_throughput(running)
     return 0
 
 
--- a/bench/restores.py
+++ b/bench/restores.py
@@ -10,20 +10,21 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Compares ways to follow a store that comes back from older copies.
+"""Compares schemes to follow a store that is restored from older copies.
 
-Plays the product's entries (`gateway/entries`) in virtual time, for gateways
-of which the first two read the store and tell the others. Compared are:
+Runs the product's entries (`gateway/entries`) in virtual time. The first two
+gateways read the store, and the others get updates from them. The schemes are:
 
-- `numbers`: versions are numbers, whatever era they are of;
-- `anew`: who hears of a new era forgets all and reads again;
-- `pairs`: versions are pairs of era and number, and what is known better than
-  the copy stays.
+- `numbers`: versions are numbers, without regard to the era;
+- `anew`: a gateway that learns of a new era drops its entries and reads again;
+- `pairs`: versions are pairs of era and number, and entries that are newer
+  than the restored copy stay.
 
-`python -m bench.restores [SEEDS]` shows, for the worst gateway, the seconds
-for which an upstream that left was used beyond the bound, and the seconds
-without any upstream; and for all, the part of the upstreams' time in which
-they lived and were not used, and the rows read from the store.
+`python -m bench.restores [SEEDS]` prints, for the worst gateway, the seconds
+in which an upstream was used after it left and the drain time was over, and
+the seconds without any upstream; and for all gateways, the share of the
+upstreams' time in which they were live and not used, and the rows read from
+the store.
 """
 
 import collections.abc
@@ -42,57 +43,60 @@
 from galenahatch import ids
 from galenahatch.platform import store as stores
 
-_STEP: typing.Final = 0.05
-_LASTS: typing.Final = 30.0
-_DRAIN: typing.Final = 2.0
-_HEARTBEAT: typing.Final = 1.2
-_SILENT: typing.Final = 3 * _HEARTBEAT
-_ASK_EVERY: typing.Final = 0.6
-_READERS: typing.Final = 2
-_UPSTREAMS: typing.Final = 30
-_CHANGED: typing.Final = 5
+_STEP_S: typing.Final = 0.05
+_RUN_S: typing.Final = 30.0
+_DRAIN_S: typing.Final = 2.0
+_HEARTBEAT_INTERVAL_S: typing.Final = 1.2
+_SILENCE_TIMEOUT_S: typing.Final = 3 * _HEARTBEAT_INTERVAL_S
+_UPDATE_INTERVAL_S: typing.Final = 0.6
+_READER_COUNT: typing.Final = 2
+_UPSTREAM_COUNT: typing.Final = 30
+_CHANGED_COUNT: typing.Final = 5
 SIZES: typing.Final = (6, 63, 410)
 _SERVICE: typing.Final = ids.ServiceName('desk')
 
 
-class Way(enum.Enum):
-    """How versions are compared."""
+class VersionScheme(enum.Enum):
+    """How gateways compare versions of the store."""
 
     NUMBERS = 'numbers'
-    ANEW = 'anew'
+    RESET = 'anew'
     PAIRS = 'pairs'
 
 
 @dataclasses.dataclass(frozen=True)
-class Scene:
-    """What happens.
+class Scenario:
+    """The events of a run; all times are seconds from its start.
 
     Attributes:
-        restores: moments, and seconds that each takes back.
-        leaves: moments at which an upstream leaves.
-        joins: moments at which one is added.
-        changes: moments at which some upstreams change their entries.
-        writes: of others, a second; they move the counter on.
+        restores: time of each restore, and the seconds of writes it loses.
+        departures: times at which an upstream leaves.
+        joins: times at which an upstream is added.
+        changes: times at which some upstreams change their entries.
+        other_writes_per_s: writes a second of other clients, which advance
+            the version.
     """
 
     restores: tuple[tuple[float, float], ...]
-    leaves: tuple[float, ...] = ()
+    departures: tuple[float, ...] = ()
     joins: tuple[float, ...] = ()
     changes: tuple[float, ...] = (6.5, 8.5, 9.5)
-    writes: float = 0.5
+    other_writes_per_s: float = 0.5
 
 
-SCENES: typing.Final[dict[str, Scene]] = {
-    'leaves after': Scene(((10.0, 5.0),), leaves=(14.0, 16.0)),
-    'leaves in the lost seconds': Scene(((10.0, 5.0),), leaves=(7.0, 9.0)),
-    'leaves just after': Scene(((10.0, 5.0),), leaves=(10.3, 11.0)),
-    'numbers are passed': Scene(
-        ((10.0, 2.0),), leaves=(10.0, 13.0), writes=200.0
+SCENARIOS: typing.Final[dict[str, Scenario]] = {
+    'leaves after': Scenario(((10.0, 5.0),), departures=(14.0, 16.0)),
+    'leaves in the lost seconds': Scenario(
+        ((10.0, 5.0),), departures=(7.0, 9.0)
     ),
-    'joins in the lost seconds': Scene(((10.0, 5.0),), joins=(6.0, 8.0)),
-    'three restores': Scene(
+    'leaves just after': Scenario(((10.0, 5.0),), departures=(10.3, 11.0)),
+    'numbers are passed': Scenario(
+        ((10.0, 2.0),), departures=(10.0, 13.0), other_writes_per_s=200.0
+    ),
+    'joins in the lost seconds': Scenario(((10.0, 5.0),), joins=(6.0, 8.0)),
+    'three restores': Scenario(
         ((8.0, 3.0), (10.0, 5.0), (13.0, 4.0)),
-        leaves=(6.5, 9.0, 14.0),
+        departures=(6.5, 9.0, 14.0),
         joins=(7.0, 12.0),
     ),
 }
@@ -100,10 +104,12 @@
 
 @dataclasses.dataclass
 class _Upstream:
-    """One upstream; what it last wrote, and when.
+    """An upstream and the state in its entry.
 
     Attributes:
-        left_at: when it said that it leaves, if it has.
+        key: key of its row.
+        state: state in its entry.
+        left_at: time at which it left, or None.
     """
 
     key: str
@@ -112,17 +118,17 @@
 
 
 class _Store:
-    """Rows of upstreams, with copies of each step."""
+    """Rows of upstreams, with a snapshot of each step."""
 
     def __init__(self) -> None:
         self.rows: dict[str, stores.Row] = {}
         self.ver = 0
         self.era = 0
-        self.read = 0
-        self._copies: list[tuple[float, int, dict[str, stores.Row]]] = []
+        self.rows_read = 0
+        self._snapshots: list[tuple[float, int, dict[str, stores.Row]]] = []
 
     def write(self, upstream: _Upstream) -> None:
-        """Write an upstream's entry."""
+        """Write the entry of an upstream."""
         self.ver += 1
         entry = {
             'service': _SERVICE,
@@ -138,225 +144,261 @@
         self.rows[upstream.key] = stores.Row(upstream.key, self.ver, value)
 
     def remove(self, key: str) -> None:
-        """Remove an entry."""
+        """Remove the entry of an upstream."""
         self.ver += 1
         self.rows[key] = stores.Row(key, self.ver, removed=True)
 
-    def copy(self, now: float) -> None:
-        """Remember what there is."""
-        self._copies.append((now, self.ver, dict(self.rows)))
-
-    def restore(self, moment: float) -> None:
-        """Go back to a moment."""
-        copies = [copy for copy in self._copies if copy[0] <= moment]
-        _, self.ver, rows = copies[-1]
+    def take_snapshot(self, now: float) -> None:
+        """Save the current rows for later restores."""
+        self._snapshots.append((now, self.ver, dict(self.rows)))
+
+    def restore(self, restored_to: float) -> None:
+        """Restore the last snapshot of a time, in a new era."""
+        snapshots = [
+            snapshot
+            for snapshot in self._snapshots
+            if snapshot[0] <= restored_to
+        ]
+        _, self.ver, rows = snapshots[-1]
         self.rows = dict(rows)
-        self._copies = copies
+        self._snapshots = snapshots
         self.era += 1
 
-    def listed(self) -> list[stores.Row]:
-        """Return all rows."""
-        found = [row for row in self.rows.values() if not row.removed]
-        self.read += len(found)
-        return found
+    def list_rows(self) -> list[stores.Row]:
+        """Return all rows that are not removed."""
+        selected = [row for row in self.rows.values() if not row.removed]
+        self.rows_read += len(selected)
+        return selected
 
-    def changed(self, after: int) -> list[stores.Row]:
+    def changed_rows(self, after: int) -> list[stores.Row]:
         """Return the rows that changed after a version."""
-        found = [row for row in self.rows.values() if row.ver > after]
-        self.read += len(found)
-        return found
+        selected = [row for row in self.rows.values() if row.ver > after]
+        self.rows_read += len(selected)
+        return selected
 
 
 class _Gateway:
-    """What one gateway knows."""
+    """The entries of one gateway."""
 
-    def __init__(self, way: Way) -> None:
-        self._way = way
+    def __init__(self, scheme: VersionScheme) -> None:
+        self._scheme = scheme
         self._era = 0
-        self._feed = versions.OLDEST
-        self._forget()
-        self.asks_at = 0.0
-
-    def _forget(self) -> None:
-        self.entries = entries.Entries(_DRAIN, _HEARTBEAT, lambda: None)
-
-    def _hear(self, era: int) -> None:
-        """Take the era that the store or a peer names."""
-        if self._way is Way.ANEW and era > self._era:
-            self._forget()
+        self._feed_version = versions.OLDEST
+        self._reset()
+        self.next_update_at = 0.0
+
+    def _reset(self) -> None:
+        self.entries = entries.Entries(
+            _DRAIN_S, _HEARTBEAT_INTERVAL_S, lambda: None
+        )
+
+    def _observe_era(self, era: int) -> None:
+        """Record the era of the store, or of a peer's heartbeat."""
+        if self._scheme is VersionScheme.RESET and era > self._era:
+            self._reset()
         self._era = max(self._era, era)
 
-    def follow(self, store: _Store) -> None:
-        """Read what is new in the store."""
-        era = 0 if self._way is Way.NUMBERS else store.era
-        self._hear(era)
+    def read_store(self, store: _Store) -> None:
+        """Read new rows, or all rows if the feed can't be continued."""
+        era = 0 if self._scheme is VersionScheme.NUMBERS else store.era
+        self._observe_era(era)
         version = versions.Version(era, store.ver)
-        is_gone = not versions.OLDEST < self._feed <= version
-        if is_gone or self._feed.era != era:
-            self.entries.replace_all(store.listed(), version)
-        elif rows := store.changed(self._feed.number):
+        needs_full_read = not versions.OLDEST < self._feed_version <= version
+        if needs_full_read or self._feed_version.era != era:
+            self.entries.replace_all(store.list_rows(), version)
+        elif rows := store.changed_rows(self._feed_version.number):
             self.entries.apply_changes(rows, version)
-        self._feed = version
+        self._feed_version = version
 
-    def ask(self, peer: '_Gateway') -> None:
-        """Hear a peer's beat, and ask it for news."""
-        self._hear(peer._era)
-        known = self.entries.version
-        if peer.entries.version > known:
-            question = messages.UpdateRequest(0, known.number, known.era)
-            news = peer.entries.update_for(question, b'')
-            if news is not None:
-                self.entries.apply_update(news)
+    def request_update(self, peer: '_Gateway') -> None:
+        """Get the newer entries of a peer."""
+        self._observe_era(peer._era)
+        version = self.entries.version
+        if peer.entries.version > version:
+            request = messages.UpdateRequest(0, version.number, version.era)
+            update = peer.entries.update_for(request, b'')
+            if update is not None:
+                self.entries.apply_update(update)
 
-    def used(self, now: float) -> set[str]:
-        """Return the upstreams that get new work."""
-        found = self.entries.registry.usable(_SERVICE, now)
-        return {str(upstream.id) for upstream in found}
+    def usable_upstreams(self, now: float) -> set[str]:
+        """Return the keys of the upstreams that can get new requests."""
+        selected = self.entries.registry.usable(_SERVICE, now)
+        return {str(upstream.id) for upstream in selected}
 
 
 @dataclasses.dataclass
 class Result:
-    """What a play came to; seconds of the worst gateway."""
+    """The result of a run.
 
-    late: float = 0.0
-    without: float = 0.0
-    idle: float = 0.0
-    read: int = 0
+    Attributes:
+        late_s: seconds in which the worst gateway used an upstream after its
+            drain time.
+        without_s: seconds in which the worst gateway had no upstream.
+        idle_share: share of the upstreams' time without use by a gateway.
+        rows_read: rows read from the store.
+    """
 
+    late_s: float = 0.0
+    without_s: float = 0.0
+    idle_share: float = 0.0
+    rows_read: int = 0
 
-class Play:
-    """One scene with gateways that go one way."""
 
-    def __init__(self, size: int, scene: Scene, way: Way, seed: int) -> None:
+class Simulation:
+    """A run of one scenario with one version scheme."""
+
+    def __init__(
+        self, size: int, scenario: Scenario, scheme: VersionScheme, seed: int
+    ) -> None:
         self._random = random.Random(seed)
-        self._scene = scene
+        self._scenario = scenario
         self._store = _Store()
-        self._gateways = [_Gateway(way) for _ in range(size)]
-        self._upstreams = [_Upstream(f'i-{n}') for n in range(_UPSTREAMS)]
-        self._later: list[tuple[float, collections.abc.Callable[[], None]]]
-        self._later = []
+        self._gateways = [_Gateway(scheme) for _ in range(size)]
+        self._upstreams = [_Upstream(f'i-{n}') for n in range(_UPSTREAM_COUNT)]
+        self._scheduled: list[tuple[float, collections.abc.Callable[[], None]]]
+        self._scheduled = []
         self._now = 0.0
         for upstream in self._upstreams:
             self._store.write(upstream)
 
     def run(self) -> Result:
-        """Play it."""
-        late = [0.0] * len(self._gateways)
-        without = [0.0] * len(self._gateways)
-        idle = 0.0
+        """Simulate the scenario."""
+        late_s = [0.0] * len(self._gateways)
+        without_s = [0.0] * len(self._gateways)
+        idle_s = 0.0
         clock.now = lambda: self._now
-        while self._now < _LASTS:
-            self._store.copy(self._now)
-            self._happen()
-            self._tell()
+        while self._now < _RUN_S:
+            self._store.take_snapshot(self._now)
+            self._apply_events()
+            self._propagate()
             for number, gateway in enumerate(self._gateways):
                 gateway.entries.accept_settled()
-                used = gateway.used(self._now)
-                late[number] += _STEP * bool(used & self._left())
-                without[number] += _STEP * (not used)
-                idle += _STEP * len(self._living() - used)
-            self._now += _STEP
-        total = len(self._gateways) * _UPSTREAMS * _LASTS
-        return Result(max(late), max(without), idle / total, self._store.read)
-
-    def _left(self) -> set[str]:
+                used = gateway.usable_upstreams(self._now)
+                late_s[number] += _STEP_S * bool(used & self._departed_keys())
+                without_s[number] += _STEP_S * (not used)
+                idle_s += _STEP_S * len(self._live_keys() - used)
+            self._now += _STEP_S
+        total = len(self._gateways) * _UPSTREAM_COUNT * _RUN_S
+        return Result(
+            max(late_s), max(without_s), idle_s / total, self._store.rows_read
+        )
+
+    def _departed_keys(self) -> set[str]:
         return {
             upstream.key
             for upstream in self._upstreams
             if upstream.left_at is not None
-            and self._now - upstream.left_at > _DRAIN
+            and self._now - upstream.left_at > _DRAIN_S
         }
 
-    def _living(self) -> set[str]:
-        return {one.key for one in self._upstreams if one.left_at is None}
-
-    def _due(self, moments: collections.abc.Iterable[float]) -> int:
-        return sum(self._now <= at < self._now + _STEP for at in moments)
-
-    def _happen(self) -> None:
-        due = [work for at, work in self._later if at <= self._now]
-        self._later = [one for one in self._later if one[0] > self._now]
-        for work in due:
-            work()
-        for at, lost in self._scene.restores:
-            if self._due([at]):
-                self._restore(lost)
-        for _ in range(self._due(self._scene.leaves)):
-            self._leave()
-        for _ in range(self._due(self._scene.joins)):
+    def _live_keys(self) -> set[str]:
+        return {
+            upstream.key
+            for upstream in self._upstreams
+            if upstream.left_at is None
+        }
+
+    def _count_due(self, times: collections.abc.Iterable[float]) -> int:
+        return sum(self._now <= at < self._now + _STEP_S for at in times)
+
+    def _apply_events(self) -> None:
+        due = [action for at, action in self._scheduled if at <= self._now]
+        self._scheduled = [
+            item for item in self._scheduled if item[0] > self._now
+        ]
+        for action in due:
+            action()
+        for at, lost_s in self._scenario.restores:
+            if self._count_due([at]):
+                self._restore(lost_s)
+        for _ in range(self._count_due(self._scenario.departures)):
+            self._remove_upstream()
+        for _ in range(self._count_due(self._scenario.joins)):
             upstream = _Upstream(f'i-{len(self._upstreams)}')
             self._upstreams.append(upstream)
             self._store.write(upstream)
-        if self._due(self._scene.changes):
-            for upstream in self._upstreams[-_CHANGED:]:
+        if self._count_due(self._scenario.changes):
+            for upstream in self._upstreams[-_CHANGED_COUNT:]:
                 self._store.write(upstream)
-        expected = self._scene.writes * _STEP
+        expected = self._scenario.other_writes_per_s * _STEP_S
         self._store.ver += int(expected)
         self._store.ver += self._random.random() < expected % 1
 
-    def _leave(self) -> None:
-        upstream = next(one for one in self._upstreams if not one.left_at)
+    def _remove_upstream(self) -> None:
+        upstream = next(
+            upstream for upstream in self._upstreams if not upstream.left_at
+        )
         upstream.left_at = self._now
         self._store.remove(upstream.key)
 
-    def _restore(self, lost: float) -> None:
-        """Upstreams that live write again, and those that left lapse."""
-        before = dict(self._store.rows)
-        self._store.restore(self._now - lost)
+    def _restore(self, lost_s: float) -> None:
+        """Restore the store to an earlier time.
+
+        Live upstreams write their lost entries again; the restored entries of
+        those that left expire.
+        """
+        previous_rows = dict(self._store.rows)
+        self._store.restore(self._now - lost_s)
         for upstream in self._upstreams:
             key = upstream.key
-            if before[key] == self._store.rows.get(key):
+            if previous_rows[key] == self._store.rows.get(key):
                 continue
             if upstream.left_at is None:
-                at = self._now + self._random.uniform(0.0, _HEARTBEAT)
-                self._at(at, self._store.write, upstream)
+                at = self._now + self._random.uniform(
+                    0.0, _HEARTBEAT_INTERVAL_S
+                )
+                self._schedule(at, self._store.write, upstream)
             else:
-                self._at(self._now + _SILENT, self._lapse, upstream)
+                self._schedule(
+                    self._now + _SILENCE_TIMEOUT_S, self._expire, upstream
+                )
 
-    def _at(
+    def _schedule(
         self,
-        moment: float,
-        work: collections.abc.Callable[[_Upstream], None],
+        at: float,
+        action: collections.abc.Callable[[_Upstream], None],
         upstream: _Upstream,
     ) -> None:
-        self._later.append((moment, lambda: work(upstream)))
+        self._scheduled.append((at, lambda: action(upstream)))
 
-    def _lapse(self, upstream: _Upstream) -> None:
+    def _expire(self, upstream: _Upstream) -> None:
         if not self._store.rows[upstream.key].removed:
             self._store.remove(upstream.key)
 
-    def _tell(self) -> None:
-        """Let readers follow the store, and others ask them."""
-        small = len(self._gateways) <= 8
-        readers = self._gateways if small else self._gateways[:_READERS]
+    def _propagate(self) -> None:
+        """Let readers read the store, and other gateways get updates."""
+        all_read = len(self._gateways) <= 8
+        readers = (
+            self._gateways if all_read else self._gateways[:_READER_COUNT]
+        )
         for reader in readers:
-            reader.follow(self._store)
+            reader.read_store(self._store)
         for gateway in self._gateways[len(readers) :]:
-            if gateway.asks_at <= self._now:
-                pause = self._random.uniform(0.5, 1.0) * _ASK_EVERY
-                gateway.asks_at = self._now + pause
-                gateway.ask(self._random.choice(readers))
+            if gateway.next_update_at <= self._now:
+                delay_s = self._random.uniform(0.5, 1.0) * _UPDATE_INTERVAL_S
+                gateway.next_update_at = self._now + delay_s
+                gateway.request_update(self._random.choice(readers))
 
 
 def main() -> None:
-    """Print a table of all scenes, sizes and ways."""
+    """Print a table of all scenarios, sizes and schemes."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 1
     print(
         'scene                       size  way      late  without  idle  read'
     )
-    for name, scene in SCENES.items():
+    for name, scenario in SCENARIOS.items():
         for size in SIZES:
-            for way in Way:
+            for scheme in VersionScheme:
                 runs = [
-                    Play(size, scene, way, seed).run()
+                    Simulation(size, scenario, scheme, seed).run()
                     for seed in range(1, seeds + 1)
                 ]
                 print(
-                    f'{name:27s} {size:4d}  {way.value:8s}'
-                    f'{max(run.late for run in runs):5.2f}  '
-                    f'{max(run.without for run in runs):7.2f} '
-                    f'{sum(run.idle for run in runs) / seeds:.4f} '
-                    f'{sum(run.read for run in runs) // seeds:5d}',
+                    f'{name:27s} {size:4d}  {scheme.value:8s}'
+                    f'{max(run.late_s for run in runs):5.2f}  '
+                    f'{max(run.without_s for run in runs):7.2f} '
+                    f'{sum(run.idle_share for run in runs) / seeds:.4f} '
+                    f'{sum(run.rows_read for run in runs) // seeds:5d}',
                     flush=True,
                 )
 
