--- a/bench/dispatching.py
+++ b/bench/dispatching.py
@@ -10,20 +10,21 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The gateway's decisions replayed in virtual time: `make decisions`.
-
-The owner's core (`core/dispatch`) decides over engines that follow the
-behaviour published for them: prompts are read one after another, tokens are
-made in steps that grow with the runs, memory holds prompts and what was
-made, and the newest run is preempted when it is full and read again.
-Callers come by a rate with bursts, heed the time to come back once, and
-leave without a first event. What is counted: a whole answer in time is worth
-its full credit, counted from the caller's first attempt, a late one a fifth;
-being held and not served costs up to the credit, a second refusal 0.8 of it.
-
-Everything is decided by the seed. It answers in seconds what a policy does
-over many bursts, where single days differ by more than policies do. It does
-not model connections, failures of calls, or the store.
+"""Simulates the gateway's decisions in virtual time: `make decisions`.
+
+The owner's core (`core/dispatch`) places requests on simulated engines with
+their published behaviour: an engine prefills prompts one after another, decode
+steps get longer with the number of runs, memory holds prompts and generated
+tokens, and if it is full, the newest run is preempted and prefilled again.
+Callers arrive at a rate with bursts, retry once after the stated time, and
+leave if there is no first event. The score counts from a caller's first
+attempt: a complete answer in time has its full credit, a late one a fifth;
+holding a request without serving it costs up to its credit, and a second
+refusal 0.8 of it.
+
+All results depend on the seed only. The simulation shows in seconds how a
+policy behaves over many bursts; single days differ by more than policies do.
+It does not model connections, failed calls, or the store.
 """
 
 import argparse
@@ -45,56 +46,62 @@
 from galenahatch.core import upstreams
 from galenahatch import ids
 
-_TICK: typing.Final = 0.01
-_SECONDS: typing.Final = 50.0
+_TICK_S: typing.Final = 0.01
+_DEMAND_S: typing.Final = 50.0
 _SEEDS: typing.Final = 24
 _WORKERS: typing.Final = 4
 _SERVICE: typing.Final = ids.ServiceName('model')
-_HERE: typing.Final = ids.DataCentre('a')
+_DATA_CENTRE: typing.Final = ids.DataCentre('a')
 _GATEWAY: typing.Final = ids.MemberId('m')
-_BEAT_TICKS: typing.Final = 25
-_PLAN_TICKS: typing.Final = 50
-_LATE_SHARE: typing.Final = 0.2
-_REFUSED_AGAIN: typing.Final = 0.8
-"""A second refusal, and its doing so while half of the places are free:
-memory fills before they do."""
-_FREE_HOLD: typing.Final = 0.125
-"""Part of the objective for which holding a request is free."""
-_CHUNK: typing.Final = 1024
-"""Tokens of a prompt that a decode engine reads between two of its steps."""
-_SLOWER_READ: typing.Final = 2.0
-_FETCH: typing.Final = 0.012
-_SHOWN: typing.Final = (
+_HEARTBEAT_TICKS: typing.Final = 25
+_STAGE_PLAN_TICKS: typing.Final = 50
+_LATE_CREDIT: typing.Final = 0.2
+_SECOND_REFUSAL_PRICE: typing.Final = 0.8
+"""Share of the credit that a second refusal costs. It includes the price of a
+refusal while half of the slots are free: memory fills before the slots."""
+_FREE_HOLD_SHARE: typing.Final = 0.125
+"""Share of the objective for which holding a request is free."""
+_PREFILL_CHUNK_TOKENS: typing.Final = 1024
+"""Prompt tokens that a decode engine prefills between two decode steps."""
+_DECODE_PREFILL_FACTOR: typing.Final = 2.0
+"""Factor by which a decode engine prefills more slowly."""
+_KV_FETCH_S: typing.Final = 0.012
+"""Seconds to transfer a KV cache to a decode engine."""
+_PRINTED_FIELDS: typing.Final = (
     'worth',
     'credit',
     'prices',
     'in_time',
     'wasted',
-    'in_vain',
+    'held_unserved',
 )
-_OBJECTIVE: typing.Final = 0.9
-_PATIENCE: typing.Final = 3.6
-_DEADLINE: typing.Final = 14.0
-_LONGEST_PAUSE: typing.Final = 0.3
-_HEEDED: typing.Final = 1 / 3
+_OBJECTIVE_S: typing.Final = 0.9
+_PATIENCE_S: typing.Final = 3.6
+_DEADLINE_S: typing.Final = 14.0
+_MAX_PAUSE_S: typing.Final = 0.3
+_MAX_RETRY_WAIT_SHARE: typing.Final = 1 / 3
+"""Share of the remaining time that a caller waits at most before a retry."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Engines:
-    """Model engines of one kind, and what they are asked for.
+class EngineKind:
+    """Model engines of one kind, and the requests to them.
 
     Attributes:
-        capacity: tokens of KV cache.
-        step: seconds for a token of each run, if one runs.
-        step_per_run: seconds more for each further run.
-        read_rate: prompt tokens a second.
-        delay: seconds that a prefill takes besides.
-        is_serial: whether no other prompt is read within the delay.
-        stride: tokens of an event.
-        switch: seconds for which a change of stage takes an engine away.
-        prompt: median tokens of a prompt.
-        output: median tokens of an answer.
-        spread: of prompts and answers, in logarithms.
+        capacity: tokens that the KV cache holds.
+        slots: maximum number of concurrent runs.
+        step: seconds of a decode step without runs.
+        step_per_run: additional seconds of a decode step for each run.
+        read_rate: prompt tokens that are prefilled a second.
+        delay: additional seconds of latency of a prefill.
+        is_serial: whether the engine prefills no other prompt during the
+            delay.
+        stride: tokens in each event.
+        switch: seconds for which an engine is unavailable while it changes
+            its stage.
+        prompt: median number of tokens of a prompt.
+        output: median number of tokens of an output.
+        spread: standard deviation of the logarithms of both lengths.
     """
 
     capacity: int = 76_702
@@ -111,31 +118,36 @@
     spread: float = 0.47
 
     def pace(self, runs: int) -> float:
-        """Return the seconds for a token beside some runs."""
+        """Return the seconds of a decode step with a number of runs."""
         return self.step + self.step_per_run * runs
 
     def rate(self, prefills: int, decodes: int) -> float:
-        """Return the requests a second that a division of engines ends."""
+        """Return the requests a second that a set of engines completes."""
         mean = math.exp(self.spread**2 / 2)
-        held = mean * (self.prompt + self.output / 2)
-        runs = max(1, min(self.slots, int(0.9 * self.capacity / held)))
-        life = mean * self.output * self.pace(runs)
-        read = mean * self.prompt / self.read_rate
-        read += self.delay * self.is_serial
-        return min(prefills / read, decodes * runs / (life + read))
+        tokens_per_run = mean * (self.prompt + self.output / 2)
+        runs = max(
+            1, min(self.slots, int(0.9 * self.capacity / tokens_per_run))
+        )
+        run_s = mean * self.output * self.pace(runs)
+        prefill_s = mean * self.prompt / self.read_rate
+        prefill_s += self.delay * self.is_serial
+        return min(prefills / prefill_s, decodes * runs / (run_s + prefill_s))
 
 
 @dataclasses.dataclass(frozen=True)
 class Day:
-    """A course of the demand, and the engines before it.
+    """The demand over time, and the engines that serve it.
 
     Attributes:
-        rate: requests a second.
-        bursts: start, length and factor of each.
-        lost: decode engines that vanish at a third of the day.
-        engines: of which kind they are.
-        slow: engines of each stage that turn slow, from when on, for how
-            long, and how many times as long their work takes.
+        name: name of the day.
+        prefills: number of prefill engines at the start.
+        decodes: number of decode engines at the start.
+        rate: requests a second outside of bursts.
+        bursts: start in seconds, duration in seconds and factor of each burst.
+        lost: number of decode engines that are lost after a third of the day.
+        engines: kind of the engines.
+        slow: number of engines of each stage that slow down, the start and
+            the duration in seconds, and the factor.
     """
 
     name: str
@@ -144,18 +156,18 @@
     rate: float
     bursts: tuple[tuple[float, float, float], ...]
     lost: int = 0
-    engines: Engines = Engines()
+    engines: EngineKind = EngineKind()
     slow: tuple[int, float, float, float] = (0, 0.0, 0.0, 1.0)
 
-    def slowness(self, engine: str, now: float) -> float:
-        """Return how many times as long the work of an engine takes."""
+    def slowdown(self, engine: str, now: float) -> float:
+        """Return the factor by which an engine is slower at a time."""
         count, start, length, factor = self.slow
         is_slow = int(engine[1:]) < count and start <= now < start + length
         return factor if is_slow else 1.0
 
 
 _BURSTS: typing.Final = ((6.0, 5.0, 1.7), (17.0, 4.0, 2.1), (27.0, 4.0, 1.8))
-DELAYED: typing.Final = Engines(
+DELAYED: typing.Final = EngineKind(
     capacity=58_379,
     slots=64,
     step=0.00455,
@@ -164,7 +176,7 @@
     stride=8,
     output=450,
 )
-"""Engines whose results come late, with answers of a tenth of the memory."""
+"""Engines with prefill latency; outputs use a tenth of a request's memory."""
 _PEAKS: typing.Final = (
     (6.0, 5.0, 1.8),
     (16.0, 1.0, 1.3),
@@ -172,7 +184,7 @@
     (21.0, 5.0, 1.3),
     (27.0, 4.0, 1.8),
 )
-"""Bursts of all kinds of requests, and some of one kind that meet them."""
+"""Bursts of all kinds of requests, and overlapping bursts of one kind."""
 DAYS: typing.Final = (
     Day('delayed', 2, 4, 6.5, _PEAKS, engines=DELAYED),
     Day('delayed, undivided', 3, 3, 6.5, _PEAKS, engines=DELAYED),
@@ -192,23 +204,23 @@
 
 @dataclasses.dataclass
 class _Caller:
-    """One caller's request, over its attempts."""
+    """A request of a caller over all its attempts."""
 
     number: int
     prompt: int
     output: int
-    hint: int
-    most: int
-    began: float
+    output_hint: int
+    max_output: int
+    started_at: float
     attempt: int = 1
-    arrived: float = 0.0
-    placed: bool = False
-    held: float = 0.0
+    arrived_at: float = 0.0
+    is_placed: bool = False
+    held_s: float = 0.0
     refusals: int = 0
-    first: float = 0.0
-    pause: float = 0.0
-    event_at: float = 0.0
-    made: float = 0.0
+    first_event_at: float = 0.0
+    longest_pause: float = 0.0
+    last_event_at: float = 0.0
+    generated: float = 0.0
     events: int = 0
     credit: float = 0.0
     is_over: bool = False
@@ -218,110 +230,121 @@
         return self.prompt + 10.0 * self.output
 
     @property
-    def is_held_in_vain(self) -> bool:
-        return not self.credit and self.held > _OBJECTIVE / 2
+    def is_held_unserved(self) -> bool:
+        return not self.credit and self.held_s > _OBJECTIVE_S / 2
 
     @property
     def stream(self) -> ids.StreamId:
         return ids.StreamId(f'{self.number}.{self.attempt}')
 
 
-class _Decode:
-    """A decode engine: runs in the order in which they came."""
+class _DecodeEngine:
+    """A decode engine, with its runs in order of arrival."""
 
-    def __init__(self, kind: Engines) -> None:
+    def __init__(self, kind: EngineKind) -> None:
         self._kind = kind
         self.runs: list[_Caller] = []
-        self.paused: collections.deque[_Caller] = collections.deque()
-        self.unread: collections.deque[_Caller] = collections.deque()
+        self.queued: collections.deque[_Caller] = collections.deque()
+        self.unprefilled: collections.deque[_Caller] = collections.deque()
         self.wasted = 0.0
-        self._left = 0.0
-
-    def step(self, now: float, slowness: float = 1.0) -> list[_Caller]:
-        """Make one tick's tokens; return the runs that have ended."""
-        self._fit()
-        pace = self._kind.pace(len(self.runs)) * slowness
-        if self.unread:
-            self._read()
-            pace += _CHUNK * _SLOWER_READ / self._kind.read_rate
-        ended = []
+        self._prefill_tokens_left = 0.0
+
+    def step(self, now: float, slowdown: float = 1.0) -> list[_Caller]:
+        """Generate the tokens of one tick and return the completed runs."""
+        self._schedule_runs()
+        pace = self._kind.pace(len(self.runs)) * slowdown
+        if self.unprefilled:
+            self._run_prefill()
+            pace += (
+                _PREFILL_CHUNK_TOKENS
+                * _DECODE_PREFILL_FACTOR
+                / self._kind.read_rate
+            )
+        completed_runs = []
         for caller in self.runs:
-            caller.made += _TICK / pace
-            events = math.floor(caller.made / self._kind.stride)
-            if caller.made >= caller.output:
+            caller.generated += _TICK_S / pace
+            events = math.floor(caller.generated / self._kind.stride)
+            if caller.generated >= caller.output:
                 events += 1
-                ended.append(caller)
+                completed_runs.append(caller)
             if events > caller.events:
-                self._event(caller, events, now)
-        self.runs = [c for c in self.runs if c not in ended]
-        return ended
-
-    def _read(self) -> None:
-        """Read a tick's part of the first prompt."""
-        self._left = self._left or self.unread[0].prompt
-        self._left -= _TICK * self._kind.read_rate / _SLOWER_READ
-        if self._left <= 0:
-            self._left = 0.0
-            self.paused.append(self.unread.popleft())
-
-    def _event(self, caller: _Caller, events: int, now: float) -> None:
+                self._record_event(caller, events, now)
+        self.runs = [c for c in self.runs if c not in completed_runs]
+        return completed_runs
+
+    def _run_prefill(self) -> None:
+        """Prefill a part of the first prompt for one tick."""
+        self._prefill_tokens_left = (
+            self._prefill_tokens_left or self.unprefilled[0].prompt
+        )
+        self._prefill_tokens_left -= (
+            _TICK_S * self._kind.read_rate / _DECODE_PREFILL_FACTOR
+        )
+        if self._prefill_tokens_left <= 0:
+            self._prefill_tokens_left = 0.0
+            self.queued.append(self.unprefilled.popleft())
+
+    def _record_event(self, caller: _Caller, events: int, now: float) -> None:
         if not caller.events:
-            caller.first = now
+            caller.first_event_at = now
         else:
-            caller.pause = max(caller.pause, now - caller.event_at)
+            caller.longest_pause = max(
+                caller.longest_pause, now - caller.last_event_at
+            )
         caller.events = events
-        caller.event_at = now
+        caller.last_event_at = now
 
     @property
     def used(self) -> float:
-        """Tokens of memory that can't yield."""
-        return sum(caller.prompt + caller.made for caller in self.runs)
+        """Tokens of KV cache that are in use by runs."""
+        return sum(caller.prompt + caller.generated for caller in self.runs)
 
-    def _fit(self) -> None:
-        """Preempt the newest while memory is short; take them back."""
+    def _schedule_runs(self) -> None:
+        """Preempt the newest runs while memory is full; start queued ones."""
         while self.used > self._kind.capacity and len(self.runs) > 1:
             caller = self.runs.pop()
-            self.wasted += caller.prompt + caller.made
-            self.paused.append(caller)
-        while self.paused and len(self.runs) < self._kind.slots:
-            caller = self.paused[0]
-            need = caller.prompt + caller.made
-            if self.runs and self.used + need > self._kind.capacity:
+            self.wasted += caller.prompt + caller.generated
+            self.queued.append(caller)
+        while self.queued and len(self.runs) < self._kind.slots:
+            caller = self.queued[0]
+            needed_tokens = caller.prompt + caller.generated
+            if self.runs and self.used + needed_tokens > self._kind.capacity:
                 return
-            self.runs.append(self.paused.popleft())
+            self.runs.append(self.queued.popleft())
 
 
 @dataclasses.dataclass(frozen=True)
 class Result:
-    """What a day came to.
+    """The result of a day.
 
     Attributes:
-        credit: share of the credit that is owed.
-        prices: the same, of what is taken off.
+        credit: share of the possible credit.
+        prices: deductions as a share of the possible credit.
         in_time: share of the callers that were served in time.
-        wasted: tokens read again, as a share of all prompts.
-        in_vain: share of the callers that were held for half of their
-            objective or longer and then refused, or left.
+        wasted: tokens of preempted runs, which are prefilled again, as a
+            share of all prompt tokens.
+        held_unserved: share of the callers that were held for more than half
+            of their objective and then refused, or left.
     """
 
     credit: float
     prices: float
     in_time: float
     wasted: float
-    in_vain: float
+    held_unserved: float
 
     @property
     def worth(self) -> float:
-        """Credit less prices."""
+        """The credit less the deductions."""
         return self.credit - self.prices
 
 
 class Replay:
-    """One day with one seed.
+    """A simulation of one day with one seed.
 
     Args:
         day: demand and engines.
-        seed: decides everything else.
+        seed: seed of all random numbers.
     """
 
     def __init__(self, day: Day, seed: int) -> None:
@@ -332,46 +355,49 @@
             self._kind.capacity, self._kind.slots
         )
         self._decodes = {
-            f'd{n}': _Decode(self._kind) for n in range(day.decodes)
+            f'd{n}': _DecodeEngine(self._kind) for n in range(day.decodes)
         }
-        self._idle_at = {f'p{n}': 0.0 for n in range(day.prefills)}
-        self.changes: list[float] = []
+        self._prefill_idle_at = {f'p{n}': 0.0 for n in range(day.prefills)}
+        self.stage_change_times: list[float] = []
         self._callers: list[_Caller] = []
         self._waiting: dict[ids.StreamId, _Caller] = {}
-        self._later: list[
+        self._scheduled: list[
             tuple[float, collections.abc.Callable[[float], None]]
         ] = []
         self._numbers = itertools.count()
-        self._tell_engines(0.0)
+        self._set_engines(0.0)
 
     def run(self) -> Result:
-        """Play the day."""
-        ticks = int((_SECONDS + _DEADLINE) / _TICK)
-        for tick in range(ticks):
-            now = tick * _TICK
-            if abs(now - _SECONDS / 3) < _TICK / 2:
-                self._lose(now)
-            if now < _SECONDS:
-                self._arrivals(now)
-            self._happen(now)
-            self._step(now)
-            self._leave(now)
-            if tick % _BEAT_TICKS == 0:
-                self._beat(now)
-            if tick % _PLAN_TICKS == 0:
-                self._plan(now)
+        """Simulate the day."""
+        tick_count = int((_DEMAND_S + _DEADLINE_S) / _TICK_S)
+        for tick in range(tick_count):
+            now = tick * _TICK_S
+            if abs(now - _DEMAND_S / 3) < _TICK_S / 2:
+                self._lose_engines(now)
+            if now < _DEMAND_S:
+                self._generate_arrival(now)
+            self._run_due(now)
+            self._step_engines(now)
+            self._remove_impatient(now)
+            if tick % _HEARTBEAT_TICKS == 0:
+                self._report_runs(now)
+            if tick % _STAGE_PLAN_TICKS == 0:
+                self._change_stages(now)
             for decision in self._owner.decide(now):
-                self._take(decision, now)
+                self._apply_decision(decision, now)
         return self._result()
 
     @property
-    def measured(self) -> figures.Figures:
-        """What the owner has measured."""
+    def measured_figures(self) -> figures.Figures:
+        """The figures that the owner has measured."""
         return self._owner.measured_figures
 
-    def _tell_engines(self, now: float) -> None:
+    def _set_engines(self, now: float) -> None:
         stages = [
-            *((name, upstreams.Stage.PREFILL) for name in self._idle_at),
+            *(
+                (name, upstreams.Stage.PREFILL)
+                for name in self._prefill_idle_at
+            ),
             *((name, upstreams.Stage.DECODE) for name in self._decodes),
         ]
         engines = [
@@ -379,7 +405,7 @@
                 ids.UpstreamId(name),
                 _SERVICE,
                 name,
-                _HERE,
+                _DATA_CENTRE,
                 self._kind.slots,
                 False,
                 at,
@@ -388,9 +414,9 @@
         ]
         self._owner.set_engines(engines, (), now)
 
-    def _beat(self, now: float) -> None:
-        """Tell the owner how far all runs have come, as gateways do."""
-        held = []
+    def _report_runs(self, now: float) -> None:
+        """Report the progress of all runs to the owner, as gateways do."""
+        runs = []
         for name, engine in self._decodes.items():
             for caller in engine.runs:
                 run = memory.Run(
@@ -398,129 +424,153 @@
                     _GATEWAY,
                     caller.prompt,
                     caller.output,
-                    caller.most,
-                    caller.first,
+                    caller.max_output,
+                    caller.first_event_at,
                     caller.events * self._kind.stride,
                     now,
                 )
-                held.append((ids.UpstreamId(name), run))
-        self._owner.reconcile_runs(_GATEWAY, held, now)
+                runs.append((ids.UpstreamId(name), run))
+        self._owner.reconcile_runs(_GATEWAY, runs, now)
 
-    def _plan(self, now: float) -> None:
-        """Carry out the changes of stage that the owner wants."""
-        for name in self._idle_at:
-            self._report(name, upstreams.Stage.PREFILL, now)
+    def _change_stages(self, now: float) -> None:
+        """Apply the stage changes that the owner plans."""
+        for name in self._prefill_idle_at:
+            self._report_stage(name, upstreams.Stage.PREFILL, now)
         for name in self._decodes:
-            self._report(name, upstreams.Stage.DECODE, now)
+            self._report_stage(name, upstreams.Stage.DECODE, now)
         for upstream, stage in self._owner.plan_stage_changes(now):
-            back_at = now + self._kind.switch
+            available_at = now + self._kind.switch
             self._owner.engines.record_stage_order(
-                upstream.id, stage, back_at + 8
+                upstream.id, stage, available_at + 8
             )
-            self.changes.append(now)
+            self.stage_change_times.append(now)
             name = str(upstream.id)
-            self._idle_at.pop(name, None)
-            gone = self._decodes.pop(name, None)
-            self._later.append((back_at, self._change(name, stage, gone)))
+            self._prefill_idle_at.pop(name, None)
+            removed_engine = self._decodes.pop(name, None)
+            self._scheduled.append(
+                (
+                    available_at,
+                    self._stage_change_callback(name, stage, removed_engine),
+                )
+            )
 
-    def _report(self, name: str, stage: upstreams.Stage, now: float) -> None:
-        """Have an engine tell its stage, as its report does."""
+    def _report_stage(
+        self, name: str, stage: upstreams.Stage, now: float
+    ) -> None:
+        """Report the stage of an engine to the owner."""
         decode = self._decodes.get(name)
         used = int(decode.used) if decode is not None else 0
         self._owner.engines.record_report(
             ids.UpstreamId(name), used, stage, False, now
         )
 
-    def _change(
-        self, name: str, stage: upstreams.Stage, gone: _Decode | None
+    def _stage_change_callback(
+        self,
+        name: str,
+        stage: upstreams.Stage,
+        removed_engine: _DecodeEngine | None,
     ) -> collections.abc.Callable[[float], None]:
 
         def change(now: float) -> None:
             if stage is upstreams.Stage.PREFILL:
-                self._idle_at[name] = now
+                self._prefill_idle_at[name] = now
             else:
-                self._decodes[name] = _Decode(self._kind)
-            self._tell_engines(now)
-
-        for caller in (*gone.runs, *gone.paused) if gone is not None else ():
-            # Runs go on to their ends meanwhile, which is not modelled.
+                self._decodes[name] = _DecodeEngine(self._kind)
+            self._set_engines(now)
+
+        for caller in (
+            (*removed_engine.runs, *removed_engine.queued)
+            if removed_engine is not None
+            else ()
+        ):
+            # Their completion during the stage change is not simulated.
             caller.credit = 1.0
             caller.is_over = True
         return change
 
-    def _lose(self, now: float) -> None:
+    def _lose_engines(self, now: float) -> None:
         for name in list(self._decodes)[: self._day.lost]:
             engine = self._decodes.pop(name)
-            for caller in (*engine.runs, *engine.paused, *engine.unread):
+            for caller in (*engine.runs, *engine.queued, *engine.unprefilled):
                 self._owner.release(caller.stream, 0, 0.0, now)
                 caller.is_over = True
-        self._tell_engines(now)
+        self._set_engines(now)
 
-    def _rate(self, now: float) -> float:
+    def _demand_rate(self, now: float) -> float:
         rate = self._day.rate
         for start, length, factor in self._day.bursts:
             if start <= now < start + length:
                 rate *= factor
         return rate * (1 + 0.15 * math.sin(now * 2 * math.pi / 11))
 
-    def _arrivals(self, now: float) -> None:
-        if self._random.random() >= self._rate(now) * _TICK:
+    def _generate_arrival(self, now: float) -> None:
+        if self._random.random() >= self._demand_rate(now) * _TICK_S:
             return
-        draw = self._random.lognormvariate
+        lognormal = self._random.lognormvariate
         kind = self._kind
-        largest = 2.2 * kind.prompt
-        prompt = min(largest, draw(math.log(kind.prompt), kind.spread))
-        longest = 2.1 * kind.output
-        output = min(longest, draw(math.log(kind.output), kind.spread))
+        largest_prompt = 2.2 * kind.prompt
+        prompt = min(
+            largest_prompt, lognormal(math.log(kind.prompt), kind.spread)
+        )
+        longest_output = 2.1 * kind.output
+        output = min(
+            longest_output, lognormal(math.log(kind.output), kind.spread)
+        )
         output = max(kind.stride, output)
         caller = _Caller(
             number=next(self._numbers),
             prompt=max(kind.prompt // 9, int(prompt)),
             output=int(output),
-            hint=max(1, int(output * draw(0.0, 0.5))),
-            most=int(max(output, longest)),
-            began=now,
+            output_hint=max(1, int(output * lognormal(0.0, 0.5))),
+            max_output=int(max(output, longest_output)),
+            started_at=now,
         )
         self._callers.append(caller)
-        self._ask(caller, now)
+        self._submit(caller, now)
 
-    def _ask(self, caller: _Caller, now: float) -> None:
-        caller.arrived = now
+    def _submit(self, caller: _Caller, now: float) -> None:
+        caller.arrived_at = now
         job = generations.Job(
             stream=caller.stream,
             entry=_GATEWAY,
             prompt_tokens=caller.prompt,
-            output_hint=caller.hint,
-            max_output=caller.most,
+            output_hint=caller.output_hint,
+            max_output=caller.max_output,
             arrived_at=now,
-            start_deadline=now + _OBJECTIVE,
-            abandon_at=now + _PATIENCE,
-            deadline=caller.began + _DEADLINE,
-            max_pause=_LONGEST_PAUSE,
+            start_deadline=now + _OBJECTIVE_S,
+            abandon_at=now + _PATIENCE_S,
+            deadline=caller.started_at + _DEADLINE_S,
+            max_pause=_MAX_PAUSE_S,
             fingerprint=str(caller.number),
-            data_centre=_HERE,
+            data_centre=_DATA_CENTRE,
         )
         self._waiting[caller.stream] = caller
         decision = self._owner.submit(job, now)
         if decision is not None:
-            self._take(decision, now)
+            self._apply_decision(decision, now)
 
-    def _take(self, decision: generations.Decision, now: float) -> None:
+    def _apply_decision(
+        self, decision: generations.Decision, now: float
+    ) -> None:
         caller = self._waiting.pop(decision.job.stream)
         if isinstance(decision, generations.Refused):
-            self._refused(caller, decision, now)
+            self._handle_refusal(caller, decision, now)
             return
-        caller.placed = True
+        caller.is_placed = True
         ready = now
         if decision.prefill is not None:
-            begins = max(now, self._idle_at[decision.prefill])
-            slowness = self._day.slowness(decision.prefill, begins)
-            idle_at = begins + slowness * caller.prompt / self._kind.read_rate
-            ready = idle_at + slowness * self._kind.delay
+            prefill_start = max(now, self._prefill_idle_at[decision.prefill])
+            slowdown = self._day.slowdown(decision.prefill, prefill_start)
+            prefill_idle_at = (
+                prefill_start + slowdown * caller.prompt / self._kind.read_rate
+            )
+            ready = prefill_idle_at + slowdown * self._kind.delay
             if self._kind.is_serial:
-                idle_at = ready
-            self._idle_at[decision.prefill] = idle_at
-            self._later.append((ready, self._read(caller, ready - now)))
+                prefill_idle_at = ready
+            self._prefill_idle_at[decision.prefill] = prefill_idle_at
+            self._scheduled.append(
+                (ready, self._prefill_callback(caller, ready - now))
+            )
         name = decision.decode
 
         def start(at: float) -> None:
@@ -530,114 +580,121 @@
                 self._owner.release(caller.stream, 0, 0.0, at)
                 return
             if decision.prefill is None:
-                engine.unread.append(caller)
+                engine.unprefilled.append(caller)
             else:
-                engine.paused.append(caller)
+                engine.queued.append(caller)
 
-        self._later.append((ready + _FETCH, start))
+        self._scheduled.append((ready + _KV_FETCH_S, start))
 
-    def _read(
+    def _prefill_callback(
         self, caller: _Caller, seconds: float
     ) -> collections.abc.Callable[[float], None]:
-        """Return what tells the owner that a prompt was read."""
+        """Return a callback that reports a completed prefill to the owner."""
 
-        def read(now: float) -> None:
+        def report_prefill(now: float) -> None:
             self._owner.record_prefill(
                 caller.stream, caller.prompt, seconds, now
             )
 
-        return read
+        return report_prefill
 
-    def _refused(
-        self, caller: _Caller, refused: generations.Refused, now: float
+    def _handle_refusal(
+        self, caller: _Caller, refusal: generations.Refused, now: float
     ) -> None:
         caller.refusals += 1
-        caller.held = max(caller.held, now - caller.arrived)
+        caller.held_s = max(caller.held_s, now - caller.arrived_at)
         if caller.refusals > 1:
             caller.is_over = True
             return
-        left = caller.began + _DEADLINE - now
-        wait = min(refused.retry_after, left * _HEEDED)
+        left = caller.started_at + _DEADLINE_S - now
+        wait = min(refusal.retry_after, left * _MAX_RETRY_WAIT_SHARE)
 
-        def again(at: float) -> None:
+        def submit_again(at: float) -> None:
             caller.attempt += 1
-            self._ask(caller, at)
+            self._submit(caller, at)
 
-        self._later.append((now + wait, again))
+        self._scheduled.append((now + wait, submit_again))
 
-    def _happen(self, now: float) -> None:
-        due = [item for item in self._later if item[0] <= now]
-        self._later = [item for item in self._later if item[0] > now]
-        for _, happen in due:
-            happen(now)
+    def _run_due(self, now: float) -> None:
+        due = [item for item in self._scheduled if item[0] <= now]
+        self._scheduled = [item for item in self._scheduled if item[0] > now]
+        for _, callback in due:
+            callback(now)
 
-    def _step(self, now: float) -> None:
+    def _step_engines(self, now: float) -> None:
         for name, engine in self._decodes.items():
-            before = [c for c in engine.runs if not c.events]
-            slowness = self._day.slowness(name, now)
-            for caller in engine.step(now, slowness):
+            awaiting_first_event = [c for c in engine.runs if not c.events]
+            slowdown = self._day.slowdown(name, now)
+            for caller in engine.step(now, slowdown):
                 self._owner.release(
-                    caller.stream, caller.output, now - caller.first, now
+                    caller.stream,
+                    caller.output,
+                    now - caller.first_event_at,
+                    now,
                 )
-                self._pay(caller)
-            for caller in before:
+                self._settle(caller)
+            for caller in awaiting_first_event:
                 if caller.events:
                     self._owner.record_first_event(caller.stream, now)
 
-    def _pay(self, caller: _Caller) -> None:
+    def _settle(self, caller: _Caller) -> None:
         caller.is_over = True
         in_time = (
-            caller.first - caller.began <= _OBJECTIVE
-            and caller.pause <= _LONGEST_PAUSE
+            caller.first_event_at - caller.started_at <= _OBJECTIVE_S
+            and caller.longest_pause <= _MAX_PAUSE_S
         )
-        caller.credit = 1.0 if in_time else _LATE_SHARE
+        caller.credit = 1.0 if in_time else _LATE_CREDIT
 
-    def _leave(self, now: float) -> None:
+    def _remove_impatient(self, now: float) -> None:
         for stream, caller in list(self._waiting.items()):
-            if now - caller.arrived > _PATIENCE:
+            if now - caller.arrived_at > _PATIENCE_S:
                 del self._waiting[stream]
                 self._owner.withdraw(stream)
-                caller.held = now - caller.arrived
+                caller.held_s = now - caller.arrived_at
                 caller.is_over = True
 
     def _result(self) -> Result:
-        owed = sum(0.3 * self._mean + 0.7 * c.size for c in self._callers)
+        owed_credit = sum(
+            0.3 * self._mean_size + 0.7 * c.size for c in self._callers
+        )
         credit = prices = in_time = 0.0
         for caller in self._callers:
-            size = 0.3 * self._mean + 0.7 * caller.size
+            size = 0.3 * self._mean_size + 0.7 * caller.size
             credit += caller.credit * size
             in_time += (caller.credit == 1.0) / len(self._callers)
             if caller.credit:
                 continue
-            if not caller.placed:
-                free = _FREE_HOLD * _OBJECTIVE
-                held = max(0.0, caller.held - free) / (_PATIENCE - free)
-                prices += min(1.0, held) * size
+            if not caller.is_placed:
+                free_s = _FREE_HOLD_SHARE * _OBJECTIVE_S
+                held_share = max(0.0, caller.held_s - free_s) / (
+                    _PATIENCE_S - free_s
+                )
+                prices += min(1.0, held_share) * size
             if caller.refusals > 1:
-                prices += _REFUSED_AGAIN * size
+                prices += _SECOND_REFUSAL_PRICE * size
         wasted = sum(engine.wasted for engine in self._decodes.values())
         prompts = sum(caller.prompt for caller in self._callers)
-        in_vain = sum(c.is_held_in_vain for c in self._callers)
+        held_unserved = sum(c.is_held_unserved for c in self._callers)
         return Result(
-            credit / owed,
-            prices / owed,
+            credit / owed_credit,
+            prices / owed_credit,
             in_time,
             wasted / prompts,
-            in_vain / len(self._callers),
+            held_unserved / len(self._callers),
         )
 
     @property
-    def _mean(self) -> float:
+    def _mean_size(self) -> float:
         return statistics.fmean(c.size for c in self._callers)
 
 
-def play(case: tuple[Day, int]) -> Result:
-    """Play one day with one seed."""
+def simulate(case: tuple[Day, int]) -> Result:
+    """Simulate one day with one seed."""
     return Replay(*case).run()
 
 
 def main() -> int:
-    """Play all days and print their means."""
+    """Simulate all days and print their mean results."""
     parser = argparse.ArgumentParser(description='Replay of the decisions')
     parser.add_argument('--seeds', type=int, default=_SEEDS)
     options = parser.parse_args()
@@ -646,10 +703,10 @@
     worths = []
     with concurrent.futures.ProcessPoolExecutor(_WORKERS) as pool:
         for day in DAYS:
-            found = list(pool.map(play, [(day, seed) for seed in seeds]))
+            results = list(pool.map(simulate, [(day, seed) for seed in seeds]))
             means = [
-                statistics.fmean(getattr(one, field) for one in found)
-                for field in _SHOWN
+                statistics.fmean(getattr(result, field) for result in results)
+                for field in _PRINTED_FIELDS
             ]
             worths.append(means[0])
             print(f'{day.name:18}', *(f'{mean:6.3f}' for mean in means))
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -47,7 +47,7 @@
 """Units that a plain call costs."""
 _STARTUP_S: typing.Final = 2.0
 """Seconds after its start in which an owner grants the whole quota: members
-that are starting can't be told from unreachable ones. As in `gateway/mesh`."""
+that are starting look like unreachable ones. As in `gateway/mesh`."""
 BOUND: typing.Final = quotas.Bound(8.0, 0.1, 120_000.0)
 
 
--- a/galenahatch/test/test_load.py
+++ b/galenahatch/test/test_load.py
@@ -42,7 +42,7 @@
 _DATA = pathlib.Path(__file__).parents[2] / 'test-data' / 'engines.toml'
 _TABLE = tomllib.loads(_DATA.read_text())['kinds']
 KINDS = {
-    name: dispatching.Engines(
+    name: dispatching.EngineKind(
         **{k: v for k, v in kind.items() if k not in ('prefills', 'decodes')}
     )
     for name, kind in _TABLE.items()
@@ -71,7 +71,7 @@
 
 
 def _in_time(day: dispatching.Day, seeds: int = 2) -> float:
-    played = [dispatching.play((day, seed)) for seed in range(seeds)]
+    played = [dispatching.simulate((day, seed)) for seed in range(seeds)]
     return statistics.fmean(one.in_time for one in played)
 
 
@@ -303,7 +303,7 @@
     """Two seconds of requests, and no token seen: engines stay as they are."""
     replay = dispatching.Replay(_day('delayed', 0.9), 1)
     replay.run()
-    assert not [at for at in replay.changes if at < 1.0]
+    assert not [at for at in replay.stage_change_times if at < 1.0]
 
 
 def test_overlap_is_learnt_from_pairs_of_prompts() -> None:
@@ -311,7 +311,7 @@
     for kind, most, least in (('delayed', 0.3, 0.0), ('serial', 1.0, 0.6)):
         replay = dispatching.Replay(_day(kind, 0.9), 1)
         replay.run()
-        assert least <= replay.measured.alone <= most
+        assert least <= replay.measured_figures.alone <= most
 
 
 # Lasting overload.
@@ -327,8 +327,10 @@
     held until they left: a tenth of all callers and more, for three seconds,
     while those served late took the places of those in time.
     """
-    played = [dispatching.play((_day(kind, 1.3), seed)) for seed in range(2)]
-    assert statistics.fmean(one.in_vain for one in played) < 0.06
+    played = [
+        dispatching.simulate((_day(kind, 1.3), seed)) for seed in range(2)
+    ]
+    assert statistics.fmean(one.held_unserved for one in played) < 0.06
     assert statistics.fmean(one.in_time for one in played) > 0.55
 
 
