--- a/bench/logs.py
+++ b/bench/logs.py
@@ -28,7 +28,7 @@
 _MESSAGE_KINDS: typing.Final = 100
 """Distinct log sentences: lines over the rate limit of a sentence are dropped,
 which would make them cheaper."""
-_LINES: typing.Final = _MESSAGE_KINDS * logs.MOST_LINES
+_LINES: typing.Final = _MESSAGE_KINDS * logs.MAX_LINES_PER_SECOND
 
 
 def _seconds_per_line(writes_lines: bool) -> float:
@@ -60,7 +60,7 @@
     printed_fd = os.dup(sys.stdout.fileno())
     null_fd = os.open(os.devnull, os.O_WRONLY)
     os.dup2(null_fd, sys.stdout.fileno())
-    logs.set_up_bounded('info')
+    logs.configure_bounded('info')
     cost_s = _seconds_per_line(True) - _seconds_per_line(False)
     text = f'{cost_s * 1e6:.1f} us of processor time a line\n'
     os.write(printed_fd, text.encode())
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -333,11 +333,11 @@
             urgency=urgency if mechanisms.urgency else states.Urgency.NORMAL,
             prompt_tokens=arrival.tokens,
             output_tokens=arrival.kind.output,
-            patience=remaining_s
+            first_token_timeout=remaining_s
             if mechanisms.shedding
             else _UNLIMITED_PATIENCE_S,
             blocks=arrival.blocks if mechanisms.cache else (),
-            avoid=(),
+            avoided_engines=(),
             data_centre=self._fleet.data_centre_of_entry(arrival.entry),
             ticket=arrival.ticket,
         )
--- a/galenahatch/bus.py
+++ b/galenahatch/bus.py
@@ -10,16 +10,16 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Sockets between the project's own processes.
+"""ZeroMQ sockets between the daemons.
 
-A scheduler binds one ROUTER socket. Every other daemon and every other
-scheduler connects one DEALER socket to it. A `Link` owns a DEALER, a `Hub`
-a ROUTER. Neither ever blocks its caller: a full send queue drops the
-message, since each protocol above repeats what matters. Frames that do not
-decode are counted and dropped.
+A scheduler binds one ROUTER socket, owned by a `Hub`. Every other daemon and
+every other scheduler connects one DEALER socket to it, owned by a `Link`.
+Sends never block: a full send queue drops the message, since the protocols
+above resend what they need. Frames that do not decode are counted and
+dropped.
 
-The sockets are read by callback, many frames at a time: one await for each
-frame costs several times as much as the frame itself.
+Callbacks read many frames at a time: awaiting each frame costs several times
+as much as processing it.
 """
 
 import asyncio
@@ -38,14 +38,14 @@
 _RECONNECT_MS: typing.Final = 100
 _RECONNECT_MAX_MS: typing.Final = 2000
 _LINGER_MS: typing.Final = 200
-_PING_EVERY_MS: typing.Final = 500
+_PING_INTERVAL_MS: typing.Final = 500
 _PING_TIMEOUT_MS: typing.Final = 1000
-"""A connection that has gone silent without a reset is replaced after so
-long; nothing else shows that it is dead. Gateways beat every 250 ms and take
-a member for away after 800. Without it they asked different owners for up to
-ten seconds after their connections had gone silent."""
-_DROP_LOG_EVERY: typing.Final = 100
-_AT_ONCE: typing.Final = 64
+"""Replaces a connection that went silent without a reset, which nothing else
+detects. Gateways send heartbeats every 250 ms and consider a member gone
+after 800 ms; without this timeout they asked different owners for up to ten
+seconds after their connections had gone silent."""
+_FRAMES_PER_DROP_LOG: typing.Final = 100
+_MAX_MESSAGES_PER_READ: typing.Final = 64
 _log = logs.Log('bus')
 
 MAX_FRAME_BYTES: typing.Final = 4 * 1024 * 1024
@@ -57,30 +57,30 @@
 
 @dataclasses.dataclass(frozen=True)
 class Codec(typing.Generic[M]):
-    """How the messages of one protocol become frames, and back."""
+    """Encoder and decoder for the messages of one protocol."""
 
     encode: collections.abc.Callable[[M], bytes]
     decode: collections.abc.Callable[[bytes], M | errors.Failure]
 
 
-class _Pump:
-    """Reads a socket whenever it has frames, and sends without blocking.
+class _SocketReader:
+    """Reads a socket when it has messages, and sends without blocking.
 
-    The descriptor of a ZeroMQ socket only tells that its state may have
-    changed, so the state is looked at after each send too.
+    The file descriptor of a ZeroMQ socket signals only that the socket's state
+    may have changed, so each send schedules a read too.
 
     Args:
-        socket: ready to use; owned from now on.
-        take: called with the parts of each message.
+        socket: configured socket; this object closes it.
+        handler: callback for the parts of each message.
     """
 
     def __init__(
         self,
         socket: zmq.Socket[bytes],
-        take: collections.abc.Callable[[_Frames], None],
+        handler: collections.abc.Callable[[_Frames], None],
     ) -> None:
         self._socket = socket
-        self._take = take
+        self._handler = handler
         self._loop = asyncio.get_running_loop()
         self._closed = False
         self._scheduled = False
@@ -88,7 +88,7 @@
         self._schedule()
 
     def send(self, parts: _Frames) -> None:
-        """Queue a message; dropped when the queue is full."""
+        """Queue a message; drop it when the queue is full."""
         try:
             self._socket.send_multipart(parts, zmq.NOBLOCK)
         except zmq.ZMQError:
@@ -104,80 +104,80 @@
     def _schedule(self) -> None:
         if not self._scheduled and not self._closed:
             self._scheduled = True
-            self._loop.call_soon(self._drain)
+            self._loop.call_soon(self._read_messages)
 
-    def _drain(self) -> None:
-        """Take frames and note the time that it took."""
+    def _read_messages(self) -> None:
+        """Read a batch of messages and record the time it took."""
         self._scheduled = False
-        began = clock.now()
-        taken = self._drain_some()
-        if taken:
-            metrics.control_seconds.add(clock.now() - began)
-        if taken == _AT_ONCE:
+        started_at = clock.now()
+        count = self._read_batch()
+        if count:
+            metrics.control_seconds.add(clock.now() - started_at)
+        if count == _MAX_MESSAGES_PER_READ:
             self._schedule()
 
-    def _drain_some(self) -> int:
-        """Take frames until there are none, some at most; return how many."""
-        for taken in range(_AT_ONCE):
+    def _read_batch(self) -> int:
+        """Read messages up to the batch limit; return how many were read."""
+        for count in range(_MAX_MESSAGES_PER_READ):
             if self._closed:
-                return taken
+                return count
             try:
                 parts = self._socket.recv_multipart(zmq.NOBLOCK)
             except zmq.ZMQError:
-                return taken
-            self._take(parts)
-        return _AT_ONCE
+                return count
+            self._handler(parts)
+        return _MAX_MESSAGES_PER_READ
 
 
-class _Inbox(typing.Generic[M]):
-    """Decodes frames and hands messages on."""
+class _FrameDecoder(typing.Generic[M]):
+    """Decodes frames; counts and logs those that are malformed."""
 
     def __init__(self, codec: Codec[M]) -> None:
         self._codec = codec
-        self._drops = 0
+        self._dropped_count = 0
 
     def decode(self, frame: bytes) -> M | None:
-        """Return the message of a frame; None if it was dropped."""
+        """Return the message in a frame; None if the frame was dropped."""
         message = self._codec.decode(frame)
         if isinstance(message, errors.Failure):
-            self.drop(message)
+            self.count_dropped(message)
             return None
         return message
 
-    def drop(self, failure: errors.Failure) -> None:
-        """Count a dropped frame and log now and then."""
+    def count_dropped(self, failure: errors.Failure) -> None:
+        """Count a dropped frame; log only some of them."""
         metrics.frames_dropped.add(1, {'reason': failure.reason.name})
-        if self._drops % _DROP_LOG_EVERY == 0:
+        if self._dropped_count % _FRAMES_PER_DROP_LOG == 0:
             _log.warning('Frame dropped.', detail=failure.detail)
-        self._drops += 1
+        self._dropped_count += 1
 
 
-def _limited(
+def _create_socket(
     context: zmq.Context[zmq.Socket[bytes]], kind: int
 ) -> zmq.Socket[bytes]:
-    """Return a socket with bounded queues and frames."""
+    """Create a socket with bounded queues, frame sizes and ping timeouts."""
     socket = context.socket(kind)
     socket.setsockopt(zmq.LINGER, _LINGER_MS)
     socket.setsockopt(zmq.SNDHWM, _QUEUE_FRAMES)
     socket.setsockopt(zmq.RCVHWM, _QUEUE_FRAMES)
     socket.setsockopt(zmq.MAXMSGSIZE, MAX_FRAME_BYTES)
-    socket.setsockopt(zmq.HEARTBEAT_IVL, _PING_EVERY_MS)
+    socket.setsockopt(zmq.HEARTBEAT_IVL, _PING_INTERVAL_MS)
     socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, _PING_TIMEOUT_MS)
     return socket
 
 
 def context() -> zmq.Context[zmq.Socket[bytes]]:
-    """Return the context that all sockets of this process share."""
+    """Return the ZeroMQ context shared by all sockets of this process."""
     return zmq.Context.instance()
 
 
 class Link(typing.Generic[M]):
-    """One connection to a process that binds a hub.
+    """DEALER socket connected to another daemon's hub.
 
     Args:
-        endpoint: `tcp://ip:port`.
-        codec: of the messages.
-        handler: called with each message from there.
+        endpoint: `tcp://ip:port` of the hub.
+        codec: encoder and decoder of the messages.
+        handler: callback for each received message.
     """
 
     def __init__(
@@ -186,38 +186,38 @@
         codec: Codec[M],
         handler: collections.abc.Callable[[M], None],
     ) -> None:
-        socket = _limited(context(), zmq.DEALER)
+        socket = _create_socket(context(), zmq.DEALER)
         socket.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MS)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_MS)
         socket.connect(endpoint)
         self._handler = handler
         self._codec = codec
-        self._inbox = _Inbox(codec)
-        self._pump = _Pump(socket, self._take)
+        self._decoder = _FrameDecoder(codec)
+        self._reader = _SocketReader(socket, self._receive)
 
     def send(self, message: M) -> None:
-        """Queue a message; dropped when the peer is long away."""
+        """Queue a message; drop it when the queue is full."""
         frame = self._codec.encode(message)
         metrics.control_bytes.add(len(frame))
-        self._pump.send([frame])
+        self._reader.send([frame])
 
     def close(self) -> None:
         """Close the socket."""
-        self._pump.close()
+        self._reader.close()
 
-    def _take(self, parts: _Frames) -> None:
-        message = self._inbox.decode(parts[-1])
+    def _receive(self, parts: _Frames) -> None:
+        message = self._decoder.decode(parts[-1])
         if message is not None:
-            _guarded(self._handler, message)
+            _call_handler(self._handler, message)
 
 
 class Hub(typing.Generic[M]):
-    """The bound socket of a process that others connect to.
+    """ROUTER socket that other daemons connect to.
 
     Args:
-        endpoint: `tcp://ip:port`.
-        codec: of the messages.
-        handler: called with each message and its sender.
+        endpoint: `tcp://ip:port` to bind.
+        codec: encoder and decoder of the messages.
+        handler: callback for each message and its sender.
     """
 
     def __init__(
@@ -226,37 +226,41 @@
         codec: Codec[M],
         handler: collections.abc.Callable[[Peer, M], None],
     ) -> None:
-        socket = _limited(context(), zmq.ROUTER)
+        socket = _create_socket(context(), zmq.ROUTER)
         socket.bind(endpoint)
         self._handler = handler
         self._codec = codec
-        self._inbox = _Inbox(codec)
-        self._pump = _Pump(socket, self._take)
+        self._decoder = _FrameDecoder(codec)
+        self._reader = _SocketReader(socket, self._receive)
 
     def send(self, peer: Peer, message: M) -> None:
-        """Queue an answer; dropped when the peer is away."""
+        """Queue a message for a peer; drop it if the peer is disconnected."""
         frame = self._codec.encode(message)
         metrics.control_bytes.add(len(frame))
-        self._pump.send([peer, frame])
+        self._reader.send([peer, frame])
 
     def close(self) -> None:
         """Close the socket."""
-        self._pump.close()
+        self._reader.close()
 
-    def _take(self, parts: _Frames) -> None:
+    def _receive(self, parts: _Frames) -> None:
         if len(parts) != 2:
             detail = f'{len(parts)} parts'
-            self._inbox.drop(errors.Failure(errors.BAD_FRAME, detail))
+            self._decoder.count_dropped(
+                errors.Failure(errors.BAD_FRAME, detail)
+            )
             return
-        message = self._inbox.decode(parts[1])
+        message = self._decoder.decode(parts[1])
         if message is None:
             return
         peer = Peer(parts[0])
-        _guarded(lambda taken: self._handler(peer, taken), message)
+        _call_handler(lambda decoded: self._handler(peer, decoded), message)
 
 
-def _guarded(handler: collections.abc.Callable[[M], None], message: M) -> None:
-    """Call a handler; its failure must not end the reading."""
+def _call_handler(
+    handler: collections.abc.Callable[[M], None], message: M
+) -> None:
+    """Call a handler; log its exceptions so that reading continues."""
     try:
         handler(message)
     except Exception as error:  # noqa: H201  (logged, reading goes on)
--- a/galenahatch/gateway/program.py
+++ b/galenahatch/gateway/program.py
@@ -37,12 +37,12 @@
 
 def main() -> int:
     """Run the gateway until a signal stops it; return the exit code."""
-    path = deployment.path()
+    path = deployment.settings_path()
     settings = deployment.load(path)
     if isinstance(settings, errors.Failure):
         print(f'{settings.reason.name}: {settings.detail}', file=sys.stderr)
         return _EXIT_USAGE_ERROR
-    logs.set_up_bounded('info')
+    logs.configure_bounded('info')
     instruments.set_global_provider()
     log = logs.Log('gateway')
     gateway = node.Gateway(settings, path)
