--- a/galenahatch/cancelling.py
+++ b/galenahatch/cancelling.py
@@ -86,7 +86,9 @@
         self._pending.add(stream)
         metrics.cancels.add(1, {'cause': cause})
         names = sorted(set(engines))
-        self._tasks.run_once(self._cancel_all(stream, names, cause, on_confirmed))
+        self._tasks.run_once(
+            self._cancel_all(stream, names, cause, on_confirmed)
+        )
 
     async def _cancel_all(
         self,
--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -80,7 +80,7 @@
     """Run a command with clients of the platform."""
     options = settings or options_module.Options()
     for failure in options_module.find_problems(options):
-        return report_failure(failure)
+        return report(failure)
 
     async def run_with_client() -> int:
         async with http.session(options.platform_token) as client:
@@ -89,7 +89,7 @@
     return asyncio.run(run_with_client())
 
 
-def report_failure(failure: errors.Failure) -> int:
+def report(failure: errors.Failure) -> int:
     """Print a failure and return its exit code."""
     print(
         f'galenahatchctl: {failure.reason.name}: {failure.reason.message} '
--- a/galenahatch/ctl.py
+++ b/galenahatch/ctl.py
@@ -13,9 +13,9 @@
 """The operators' command line.
 
 Results go to standard output, as tables or with `--json` as JSON; errors go
-to standard error. Exit codes: 0 done, 1 refused or not found, 2 wrong use
-or a bad configuration, 3 a conflict with another change, 4 unknown or not
-yet in force, 5 a store or daemon does not answer.
+to standard error. Exit codes: 0 success, 1 refused or not found, 2 usage
+error or invalid configuration, 3 conflict with another change, 4 outcome
+unknown or not yet in force, 5 a store or daemon does not answer.
 """
 
 import asyncio
@@ -41,8 +41,8 @@
 from galenahatch import queries
 from galenahatch import schema
 
-_POLL: typing.Final = 0.25
-_DAEMONS: typing.Final = (
+_STATUS_INTERVAL_S: typing.Final = 0.25
+_DAEMON_COLUMNS: typing.Final = (
     'daemon',
     'standing',
     'ready',
@@ -50,7 +50,7 @@
     'load',
     'why',
 )
-_ENGINES: typing.Final = (
+_ENGINE_COLUMNS: typing.Final = (
     'engine',
     'service',
     'standing',
@@ -81,7 +81,7 @@
 def read_bundle(
     directory: pathlib.Path, draining: tuple[str, ...] = ()
 ) -> schema.Bundle | errors.Failure:
-    """Return the bundle of a directory."""
+    """Read a bundle from a configuration directory."""
     try:
         base = (directory / 'base.toml').read_text()
         overlays = {
@@ -94,18 +94,18 @@
 
 
 def _check(bundle: schema.Bundle, as_json: bool) -> errors.Failure | None:
-    """Print every problem of a bundle."""
+    """Check a bundle and print every problem."""
     problems = config.check(bundle).problems
     if not problems:
         return None
     rows = [(p.file, p.key, p.expected) for p in problems]
-    with_stream = sys.stdout
+    stdout = sys.stdout
     if not as_json:
         sys.stdout = sys.stderr
     try:
         console.print_table(('file', 'key', 'expected'), rows, as_json)
     finally:
-        sys.stdout = with_stream
+        sys.stdout = stdout
     return errors.Failure(
         errors.BAD_CONFIGURATION, f'{len(problems)} problems'
     )
@@ -116,10 +116,10 @@
     """Check a configuration for every site; works offline."""
     bundle = read_bundle(directory)
     if isinstance(bundle, errors.Failure):
-        return console.report_failure(bundle)
+        return console.report(bundle)
     failure = _check(bundle, json)
     if failure is not None:
-        return console.report_failure(failure)
+        return console.report(failure)
     print(f'{len(bundle.overlays)} sites are good.')
     return console.SUCCESS
 
@@ -130,12 +130,14 @@
     *,
     read: typing.Annotated[
         int | None,
-        cyclopts.Parameter(help='Revision that the change is based on.'),
+        cyclopts.Parameter(help='Revision on which the change is based.'),
     ] = None,
     note: str = '',
     wait: typing.Annotated[
         float,
-        cyclopts.Parameter(help='Seconds to wait until in force; 0: none.'),
+        cyclopts.Parameter(
+            help='Seconds to wait until it is in force; 0: no wait.'
+        ),
     ] = 0.0,
     settings: Settings = None,
 ) -> int:
@@ -144,25 +146,23 @@
     async def work(context: console.Context) -> int:
         head = await context.changes.read_head()
         if isinstance(head, errors.Failure):
-            return console.report_failure(head)
+            return console.report(head)
         current = head.revision if head else 0
         if read is not None and read != current:
             by = f'revision {current} is by {head.author}' if head else 'none'
-            return console.report_failure(
-                errors.Failure(errors.CHANGE_CONFLICT, by)
-            )
+            return console.report(errors.Failure(errors.CHANGE_CONFLICT, by))
         draining: tuple[str, ...] = ()
         if head is not None:
             before = await context.changes.read_bundle(head)
             if isinstance(before, errors.Failure):
-                return console.report_failure(before)
+                return console.report(before)
             draining = before.draining
         bundle = read_bundle(directory, draining)
         if isinstance(bundle, errors.Failure):
-            return console.report_failure(bundle)
+            return console.report(bundle)
         failure = _check(bundle, False)
         if failure is not None:
-            return console.report_failure(failure)
+            return console.report(failure)
         return await _accept(context, bundle, head, note, wait)
 
     return console.run(settings, work)
@@ -177,7 +177,7 @@
 ) -> int:
     accepted = await context.changes.apply(bundle, head, _author(), note)
     if isinstance(accepted, errors.Failure):
-        return console.report_failure(accepted)
+        return console.report(accepted)
     print(f'Revision {accepted.revision} is accepted.')
     if not wait:
         return console.SUCCESS
@@ -185,26 +185,24 @@
 
 
 async def _wait(context: console.Context, number: int, seconds: float) -> int:
-    """Wait until every live daemon has a revision in force."""
+    """Wait until a revision is in force on every live daemon."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + seconds
+    deadline = loop.time() + seconds
     while True:
         replies = await queries.query_schedulers(
             await context.scheduler_addresses(),
             context.options.scheduler_port,
             messages.StatusRequest(),
         )
-        members = queries.newest_heartbeats(replies)
-        behind = [m.member for m in members if m.revision < number]
-        if members and not behind:
-            print(f'In force on {len(members)} daemons.')
+        heartbeats = queries.newest_heartbeats(replies)
+        behind = [m.member for m in heartbeats if m.revision < number]
+        if heartbeats and not behind:
+            print(f'In force on {len(heartbeats)} daemons.')
             return console.SUCCESS
-        if loop.time() > until:
+        if loop.time() > deadline:
             detail = ', '.join(behind) or 'no daemon answers'
-            return console.report_failure(
-                errors.Failure(errors.NOT_IN_FORCE, detail)
-            )
-        await asyncio.sleep(_POLL)
+            return console.report(errors.Failure(errors.NOT_IN_FORCE, detail))
+        await asyncio.sleep(_STATUS_INTERVAL_S)
 
 
 def _author() -> str:
@@ -223,13 +221,13 @@
     async def work(context: console.Context) -> int:
         bundle = await _newest(context)
         if isinstance(bundle, errors.Failure):
-            return console.report_failure(bundle)
+            return console.report(bundle)
         if not site:
-            print(_written(bundle))
+            print(_format_bundle(bundle))
             return console.SUCCESS
         merged = config.check(bundle).sites.get(site)
         if merged is None:
-            return console.report_failure(
+            return console.report(
                 errors.Failure(errors.NOT_FOUND, f'site {site}')
             )
         data = msgspec.json.encode(merged)
@@ -239,7 +237,9 @@
     return console.run(settings, work)
 
 
-async def _newest(context: console.Context) -> schema.Bundle | errors.Failure:
+async def _newest(
+    context: console.Context,
+) -> schema.Bundle | errors.Failure:
     head = await context.changes.read_head()
     if isinstance(head, errors.Failure):
         return head
@@ -248,12 +248,12 @@
     return await context.changes.read_bundle(head)
 
 
-def _written(bundle: schema.Bundle) -> str:
-    parts = [f'# base\n{bundle.base}']
+def _format_bundle(bundle: schema.Bundle) -> str:
+    sections = [f'# base\n{bundle.base}']
     for site, text in sorted(bundle.overlays.items()):
-        parts.append(f'# sites/{site}\n{text}')
-    parts.append(f'# drained: {", ".join(bundle.draining) or "none"}')
-    return '\n'.join(parts)
+        sections.append(f'# sites/{site}\n{text}')
+    sections.append(f'# drained: {", ".join(bundle.draining) or "none"}')
+    return '\n'.join(sections)
 
 
 @app.command
@@ -263,7 +263,7 @@
     async def work(context: console.Context) -> int:
         heads = await context.changes.read_history()
         if isinstance(heads, errors.Failure):
-            return console.report_failure(heads)
+            return console.report(heads)
         rows = [(h.revision, h.author, h.note, h.change) for h in heads]
         console.print_table(
             ('revision', 'author', 'note', 'change'), rows, json
@@ -280,19 +280,17 @@
     async def work(context: console.Context) -> int:
         heads = await context.changes.read_history()
         if isinstance(heads, errors.Failure):
-            return console.report_failure(heads)
+            return console.report(heads)
         texts = []
         for number in (old, new):
             head = next((h for h in heads if h.revision == number), None)
             if head is None:
                 detail = f'revision {number}'
-                return console.report_failure(
-                    errors.Failure(errors.NOT_FOUND, detail)
-                )
+                return console.report(errors.Failure(errors.NOT_FOUND, detail))
             bundle = await context.changes.read_bundle(head)
             if isinstance(bundle, errors.Failure):
-                return console.report_failure(bundle)
-            texts.append(_written(bundle).splitlines())
+                return console.report(bundle)
+            texts.append(_format_bundle(bundle).splitlines())
         lines = difflib.unified_diff(
             texts[0], texts[1], f'revision {old}', f'revision {new}'
         )
@@ -313,23 +311,23 @@
             messages.StatusRequest(),
         )
         if not replies:
-            return console.report_failure(errors.Failure(errors.NO_SCHEDULER))
+            return console.report(errors.Failure(errors.NO_SCHEDULER))
         daemons = _daemon_rows(replies)
         engines = _engine_rows(replies)
         if json:
             body = {
                 'daemons': [
-                    dict(zip(_DAEMONS, d, strict=True)) for d in daemons
+                    dict(zip(_DAEMON_COLUMNS, d, strict=True)) for d in daemons
                 ],
                 'engines': [
-                    dict(zip(_ENGINES, e, strict=True)) for e in engines
+                    dict(zip(_ENGINE_COLUMNS, e, strict=True)) for e in engines
                 ],
             }
             print(msgspec.json.encode(body).decode())
             return console.SUCCESS
-        console.print_table(_DAEMONS, daemons, False)
+        console.print_table(_DAEMON_COLUMNS, daemons, False)
         print()
-        console.print_table(_ENGINES, engines, False)
+        console.print_table(_ENGINE_COLUMNS, engines, False)
         return console.SUCCESS
 
     return console.run(settings, work)
@@ -361,16 +359,16 @@
 ) -> int:
     head = await context.changes.read_head()
     if isinstance(head, errors.Failure):
-        return console.report_failure(head)
+        return console.report(head)
     if head is None:
-        return console.report_failure(errors.Failure(errors.NO_CONFIGURATION))
+        return console.report(errors.Failure(errors.NO_CONFIGURATION))
     before = await context.changes.read_bundle(head)
     if isinstance(before, errors.Failure):
-        return console.report_failure(before)
+        return console.report(before)
     bundle = changes_module.set_draining(before, upstream, drained)
     failure = _check(bundle, False)
     if failure is not None:
-        return console.report_failure(failure)
+        return console.report(failure)
     verb = 'drain' if drained else 'undrain'
     return await _accept(context, bundle, head, f'{verb} {upstream}', wait)
 
@@ -379,7 +377,7 @@
 def drain(
     upstream: str, *, wait: float = 0.0, settings: Settings = None
 ) -> int:
-    """Give an upstream no new work: an engine's name, or a URL."""
+    """Stop sending new work to an upstream: an engine's name, or a URL."""
     return console.run(
         settings, lambda c: _set_draining(c, upstream, True, wait)
     )
@@ -389,7 +387,7 @@
 def undrain(
     upstream: str, *, wait: float = 0.0, settings: Settings = None
 ) -> int:
-    """Give a drained upstream work again."""
+    """Resume sending work to a drained upstream."""
     return console.run(
         settings, lambda c: _set_draining(c, upstream, False, wait)
     )
@@ -403,11 +401,11 @@
     json: Json = False,
     settings: Settings = None,
 ) -> int:
-    """Show the decisions taken for one request.
+    """Show the scheduling decisions for one request.
 
     Args:
-        request_id: as the answer told it, or the client sent it.
-        logs: files with logs of gateways; schedulers are asked without.
+        request_id: Request id from the response, or as the client sent it.
+        logs: Log files of gateways; without them, schedulers are queried.
     """
     if logs:
         return explaining.explain(request_id, logs, json)
@@ -419,7 +417,7 @@
             messages.ExplainRequest(queries.request_id(request_id)),
         )
         if not replies:
-            return console.report_failure(errors.Failure(errors.NO_SCHEDULER))
+            return console.report(errors.Failure(errors.NO_SCHEDULER))
         rows = [
             (scheduler, line)
             for scheduler, reply in replies.items()
@@ -428,9 +426,7 @@
         ]
         if not rows:
             detail = f'request {request_id}'
-            return console.report_failure(
-                errors.Failure(errors.NOT_FOUND, detail)
-            )
+            return console.report(errors.Failure(errors.NOT_FOUND, detail))
         console.print_table(('scheduler', 'decision'), rows, json)
         return console.SUCCESS
 
--- a/galenahatch/distribution.py
+++ b/galenahatch/distribution.py
@@ -123,7 +123,8 @@
         """Start the task that polls the table."""
         poll = self._options.config_poll
         self._tasks.run_forever(
-            'config', lambda: tasks.run_periodically(lambda: poll, self._poll_table)
+            'config',
+            lambda: tasks.run_periodically(lambda: poll, self._poll_table),
         )
 
     def record_peer_revision(
--- a/galenahatch/explaining.py
+++ b/galenahatch/explaining.py
@@ -25,11 +25,11 @@
         lines = trace.read_logs(files)
     except OSError as error:
         failure = errors.Failure(errors.BAD_SETTING, f'--logs: {error}')
-        return console.report_failure(failure)
+        return console.report(failure)
     matching = trace.request_lines(lines, request_id)
     if not matching:
         detail = f'request {request_id}'
-        return console.report_failure(errors.Failure(errors.NOT_FOUND, detail))
+        return console.report(errors.Failure(errors.NOT_FOUND, detail))
     rows = [(line.at, line.part, line.message, line.text) for line in matching]
     console.print_table(('time', 'part', 'message', 'fields'), rows, json)
     return console.SUCCESS
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -12,9 +12,9 @@
 
 """`galenahatchctl gateway ...`: gateways on the users' platform.
 
-What the platform's store tells is read through the adapter that the
-gateways use, and shown in our words. Only `release` writes. Results and exit
-codes are those of the other commands.
+Reads the platform's store through the adapter that the gateways use. Only
+`release` writes. Output formats and exit codes are those of the other
+commands.
 """
 
 import asyncio
@@ -103,7 +103,7 @@
     str,
     cyclopts.Parameter(
         name='--store',
-        help='IP:PORT of the store; else that of the settings file.',
+        help='IP:PORT of the store; default: that of the settings file.',
     ),
 ]
 Work = collections.abc.Callable[
@@ -115,11 +115,11 @@
 @app.command
 def check(file: pathlib.Path, *, json: Json = False) -> int:
     """Check a settings file as a gateway would; works offline."""
-    found = deployment.load(str(file))
-    if isinstance(found, errors.Failure):
-        return console.report_failure(found)
+    settings = deployment.load(str(file))
+    if isinstance(settings, errors.Failure):
+        return console.report(settings)
     rows = [
-        (name, str(getattr(found, name)))
+        (name, str(getattr(settings, name)))
         for name in ('name', 'data_centre', 'front', 'readiness', 'store')
     ]
     console.print_table(('setting', 'value'), rows, json)
@@ -130,10 +130,10 @@
 def config(*, store: StoreAddress = '', json: Json = False) -> int:
     """Show the routes of the newest configuration."""
 
-    async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
-        decoded = await _configuration(at)
+    async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
+        decoded = await _configuration(tables)
         if isinstance(decoded, errors.Failure):
-            return console.report_failure(decoded)
+            return console.report(decoded)
         rows = [
             (
                 route.name,
@@ -151,92 +151,93 @@
         console.print_table(_ROUTES, rows, json)
         return console.SUCCESS
 
-    return _run(store, work)
+    return _run_command(store, work)
 
 
 @app.command
 def upstreams(*, store: StoreAddress = '', json: Json = False) -> int:
     """Show the upstreams that have registered themselves."""
 
-    async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
-        found = await at.rows(documents.UPSTREAM_TABLE)
-        if isinstance(found, errors.Failure):
-            return console.report_failure(found)
-        config = await _configuration(at)
+    async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
+        snapshot = await tables.rows(documents.UPSTREAM_TABLE)
+        if isinstance(snapshot, errors.Failure):
+            return console.report(snapshot)
+        config = await _configuration(tables)
         services = (
             None if isinstance(config, errors.Failure) else config.services
         )
-        rows = [_upstream(row, services) for row in found.rows]
+        rows = [_upstream_row(row, services) for row in snapshot.rows]
         console.print_table(_UPSTREAMS, rows, json)
         return console.SUCCESS
 
-    return _run(store, work)
+    return _run_command(store, work)
 
 
 @app.command
 def status(*, store: StoreAddress = '', json: Json = False) -> int:
-    """Show the gateways in the order in which they decide."""
-
-    async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
-        found = await at.rows(roster.MEMBER_TABLE)
-        held = await at.rows(lease.TABLE)
-        for one in (found, held):
-            if isinstance(one, errors.Failure):
-                return console.report_failure(one)
-        assert isinstance(found, stores.Rows)
-        assert isinstance(held, stores.Rows)
-        holder = lease.current_holder(held)
+    """Show the gateways in their membership order."""
+
+    async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
+        member_rows = await tables.rows(roster.MEMBER_TABLE)
+        lease_rows = await tables.rows(lease.TABLE)
+        for result in (member_rows, lease_rows):
+            if isinstance(result, errors.Failure):
+                return console.report(result)
+        assert isinstance(member_rows, stores.Rows)
+        assert isinstance(lease_rows, stores.Rows)
+        holder = lease.current_holder(lease_rows)
         rows: list[console.Row] = []
-        members = filter(roster.is_member, found.rows)
+        members = filter(roster.is_member, member_rows.rows)
         for row in sorted(members, key=lambda row: row.ver):
-            told = roster.decode_member_row(row)
-            where = told.data_centre if told is not None else ''
-            seen = await scrapes.scrape(client, row.key)
-            version = '' if seen is None else scrapes.config_version(seen)
-            up, gives = seen is not None, row.key == holder
-            era = '' if seen is None else scrapes.store_era(seen)
-            rows.append((row.key, where, row.ver, up, gives, version, era))
+            member = roster.decode_member_row(row)
+            centre = member.data_centre if member is not None else ''
+            stats = await scrapes.scrape(client, row.key)
+            version = '' if stats is None else scrapes.config_version(stats)
+            is_up, leads = stats is not None, row.key == holder
+            era = '' if stats is None else scrapes.store_era(stats)
+            rows.append((row.key, centre, row.ver, is_up, leads, version, era))
         console.print_table(_GATEWAYS, rows, json)
         return console.SUCCESS
 
-    return _run(store, work)
+    return _run_command(store, work)
 
 
 @app.command
 def customers(*, store: StoreAddress = '', json: Json = False) -> int:
-    """Show customers, digests of their keys, quotas and what they used.
+    """Show customers with key digests, quotas and usage.
 
-    Counts are since each gateway's start, added up over those that answer.
+    Counts start with each gateway's process and are summed over the gateways
+    that answer.
     """
 
-    async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
-        config = await _configuration(at)
-        found = await at.rows(roster.MEMBER_TABLE)
-        for one in (config, found):
-            if isinstance(one, errors.Failure):
-                return console.report_failure(one)
+    async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
+        config = await _configuration(tables)
+        member_rows = await tables.rows(roster.MEMBER_TABLE)
+        for result in (config, member_rows):
+            if isinstance(result, errors.Failure):
+                return console.report(result)
         assert isinstance(config, routes.Configuration)
-        assert isinstance(found, stores.Rows)
-        seen = await _scraped(client, found)
-        known = config.customers.by_name if config.customers else {}
-        rows = [_customer(one, seen) for one in known.values()]
+        assert isinstance(member_rows, stores.Rows)
+        samples = await _scrape_all(client, member_rows)
+        by_name = config.customers.by_name if config.customers else {}
+        rows = [_customer_row(c, samples) for c in by_name.values()]
         console.print_table(_CUSTOMERS, rows, json)
         return console.SUCCESS
 
-    return _run(store, work)
+    return _run_command(store, work)
 
 
-def _customer(
-    one: customers_module.Customer, seen: list[scrapes.Samples]
+def _customer_row(
+    customer: customers_module.Customer, scraped: list[scrapes.Samples]
 ) -> console.Row:
-    counts = [scrapes.customer_usage(samples, one.name) for samples in seen]
+    counts = [scrapes.customer_usage(s, customer.name) for s in scraped]
     return (
-        one.name,
-        ' '.join(sorted(one.keys)),
-        '' if one.priority is None else one.priority,
-        one.unit.value,
-        one.quota.rate if one.quota else '',
-        one.quota.burst if one.quota else '',
+        customer.name,
+        ' '.join(sorted(customer.keys)),
+        '' if customer.priority is None else customer.priority,
+        customer.unit.value,
+        customer.quota.rate if customer.quota else '',
+        customer.quota.burst if customer.quota else '',
         round(sum(used for used, _ in counts)),
         round(sum(refused for _, refused in counts)),
     )
@@ -244,40 +245,40 @@
 
 @app.command
 def limits(*, store: StoreAddress = '', json: Json = False) -> int:
-    """Show what upstreams say in their answers of the next requests.
+    """Show the limits that upstreams announce in their responses.
 
-    That is, the rate that they take, that they leave, and pauses that they
-    ask for. Counts are since each gateway's start.
+    These are rate limits, announced shutdowns and requested pauses. Counts
+    start with each gateway's process.
     """
 
-    async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
-        found = await at.rows(roster.MEMBER_TABLE)
-        if isinstance(found, errors.Failure):
-            return console.report_failure(found)
-        seen = await _scraped(client, found)
-        console.print_table(_LIMITS, _limits(seen), json)
+    async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
+        member_rows = await tables.rows(roster.MEMBER_TABLE)
+        if isinstance(member_rows, errors.Failure):
+            return console.report(member_rows)
+        scraped = await _scrape_all(client, member_rows)
+        console.print_table(_LIMITS, _limit_rows(scraped), json)
         return console.SUCCESS
 
-    return _run(store, work)
+    return _run_command(store, work)
 
 
-def _limits(seen: list[scrapes.Samples]) -> list[console.Row]:
+def _limit_rows(scraped: list[scrapes.Samples]) -> list[console.Row]:
     gauges = (
         instruments.RATE_LIMIT,
         instruments.LIMITED_SECONDS,
         instruments.LEAVING_SECONDS,
         instruments.PAUSED_SECONDS,
     )
-    named = {
+    names = {
         upstream
-        for one in seen
+        for stats in scraped
         for gauge in gauges
-        for upstream in scrapes.values_by_upstream(one, gauge)
+        for upstream in scrapes.values_by_upstream(stats, gauge)
     }
     rows: list[console.Row] = []
-    for upstream in sorted(named):
+    for upstream in sorted(names):
         values = [
-            [one[gauge, upstream] for one in seen if (gauge, upstream) in one]
+            [s[gauge, upstream] for s in scraped if (gauge, upstream) in s]
             for gauge in (*gauges, f'{instruments.HELD_BACK}_total')
         ]
         rates, limited, leaving, paused, held_back = values
@@ -297,25 +298,25 @@
 
 @app.command
 def held(*, store: StoreAddress = '', json: Json = False) -> int:
-    """Show the requests under which two engines and more have ended."""
+    """Show the requests during which two or more engines ended."""
 
-    async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
-        found = await at.rows(roster.MEMBER_TABLE)
-        if isinstance(found, errors.Failure):
-            return console.report_failure(found)
+    async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
+        snapshot = await tables.rows(roster.MEMBER_TABLE)
+        if isinstance(snapshot, errors.Failure):
+            return console.report(snapshot)
         rows: list[console.Row] = []
-        for row in found.rows:
+        for row in snapshot.rows:
             entry = None if roster.is_member(row) else quarantines.decode(row)
             if entry is not None:
                 digest = row.key.removeprefix(quarantines.ROW_PREFIX)
-                rows.append((digest, len(entry.ends), _standing(entry)))
+                rows.append((digest, len(entry.ends), _hold_state(entry)))
         console.print_table(_REQUESTS, rows, json)
         return console.SUCCESS
 
-    return _run(store, work)
+    return _run_command(store, work)
 
 
-def _standing(entry: quarantines.Entry) -> str:
+def _hold_state(entry: quarantines.Entry) -> str:
     if entry.released:
         return 'released'
     is_held = len(entry.ends) >= quarantine.END_THRESHOLD
@@ -324,55 +325,53 @@
 
 @app.command
 def release(digest: str, *, store: StoreAddress = '') -> int:
-    """Let a request through again that is held back."""
+    """Release a quarantined request."""
 
-    async def work(client: aiohttp.ClientSession, at: stores.Store) -> int:
+    async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
         key = quarantines.ROW_PREFIX + digest
-        found = await at.rows(roster.MEMBER_TABLE)
-        if isinstance(found, errors.Failure):
-            return console.report_failure(found)
-        rows = [row for row in found.rows if row.key == key]
-        known = quarantines.decode(rows[0]) if rows else None
-        if known is None:
-            return console.report_failure(
-                errors.Failure(errors.NOT_FOUND, digest)
-            )
+        snapshot = await tables.rows(roster.MEMBER_TABLE)
+        if isinstance(snapshot, errors.Failure):
+            return console.report(snapshot)
+        rows = [row for row in snapshot.rows if row.key == key]
+        entry = quarantines.decode(rows[0]) if rows else None
+        if entry is None:
+            return console.report(errors.Failure(errors.NOT_FOUND, digest))
         value = msgspec.json.encode(
-            quarantines.Entry(known.ends, released=True)
+            quarantines.Entry(entry.ends, released=True)
         )
-        seen = stores.Entry(roster.MEMBER_TABLE, key, ver=rows[0].ver)
-        made = stores.Entry(roster.MEMBER_TABLE, key, value=value)
-        written = await at.transact([seen], put=[made])
+        expected = stores.Entry(roster.MEMBER_TABLE, key, ver=rows[0].ver)
+        released = stores.Entry(roster.MEMBER_TABLE, key, value=value)
+        written = await tables.transact([expected], put=[released])
         if isinstance(written, errors.Failure):
-            return console.report_failure(written)
-        # A restore between both calls has given the number to another row.
+            return console.report(written)
+        # After a restore the same row version may belong to another row.
         is_restored = (
-            isinstance(written, stores.Written) and written.era != found.era
+            isinstance(written, stores.Written) and written.era != snapshot.era
         )
         if isinstance(written, stores.Conflict) or is_restored:
-            detail = f'{digest} was written meanwhile'
-            return console.report_failure(
+            detail = f'{digest} was changed by another writer'
+            return console.report(
                 errors.Failure(errors.CHANGE_CONFLICT, detail)
             )
         return console.SUCCESS
 
-    return _run(store, work)
+    return _run_command(store, work)
 
 
-async def _scraped(
-    client: aiohttp.ClientSession, found: stores.Rows
+async def _scrape_all(
+    client: aiohttp.ClientSession, member_rows: stores.Rows
 ) -> list[scrapes.Samples]:
-    """Return the metrics of all gateways that answer."""
-    members = filter(roster.is_member, found.rows)
+    """Return the metrics of each gateway that answers."""
+    members = filter(roster.is_member, member_rows.rows)
     reads = [scrapes.scrape(client, row.key) for row in members]
-    return [one for one in await asyncio.gather(*reads) if one is not None]
+    return [s for s in await asyncio.gather(*reads) if s is not None]
 
 
 async def _configuration(
-    at: stores.Store,
+    tables: stores.Store,
 ) -> routes.Configuration | errors.Failure:
     """Return the newest configuration."""
-    found = await at.rows(documents.CONFIG_TABLE)
+    found = await tables.rows(documents.CONFIG_TABLE)
     if isinstance(found, errors.Failure):
         return found
     values = [r.value for r in found.rows if r.key == documents.CONFIG_KEY]
@@ -381,49 +380,49 @@
     return documents.configuration(values[0])
 
 
-def _upstream(
+def _upstream_row(
     row: stores.Row, services: collections.abc.Container[str] | None
 ) -> console.Row:
-    """Return what an entry shows: the upstream, or why it names none.
+    """Return the table row of an upstream, or of an entry with its error.
 
     Args:
-        row: of the store.
-        services: of the newest configuration; None if there is none.
+        row: Row of the upstream in the store.
+        services: Services of the newest configuration; None without one.
     """
-    one = documents.upstream(row.key, row.value)
-    if isinstance(one, errors.Failure):
-        return (row.key, '', '', '', '', '', '', one.detail)
-    standing = 'leaving' if one.leaving else 'ready'
-    if services is not None and one.service not in services:
+    upstream = documents.upstream(row.key, row.value)
+    if isinstance(upstream, errors.Failure):
+        return (row.key, '', '', '', '', '', '', upstream.detail)
+    standing = 'leaving' if upstream.leaving else 'ready'
+    if services is not None and upstream.service not in services:
         standing = 'service not configured'
     return (
-        incarnations.instance_id(one.id),
-        one.service,
-        one.address,
-        one.data_centre,
-        one.stage.value if one.stage else '',
-        one.slots,
-        _started(incarnations.started_ms(one.id)),
+        incarnations.instance_id(upstream.id),
+        upstream.service,
+        upstream.address,
+        upstream.data_centre,
+        upstream.stage.value if upstream.stage else '',
+        upstream.slots,
+        _format_start(incarnations.started_ms(upstream.id)),
         standing,
     )
 
 
-def _started(born: int) -> str:
-    """Return the moment of a start; empty if it is not told."""
-    if born == incarnations.UNKNOWN_START:
+def _format_start(started_ms: int) -> str:
+    """Return the start time in ISO format; empty if it is unknown."""
+    if started_ms == incarnations.UNKNOWN_START:
         return ''
-    moment = datetime.datetime.fromtimestamp(born / 1000, datetime.UTC)
-    return moment.isoformat(timespec='milliseconds')
+    start = datetime.datetime.fromtimestamp(started_ms / 1000, datetime.UTC)
+    return start.isoformat(timespec='milliseconds')
 
 
-def _run(address: str, work: Work) -> int:
-    """Run a command with a client of the store."""
+def _run_command(address: str, work: Work) -> int:
+    """Run a command with a store client and return its exit code."""
     if not address:
         path = deployment.path() or os.devnull
-        found = deployment.load(path)
-        if isinstance(found, errors.Failure):
-            return console.report_failure(found)
-        address = str(found.store)
+        settings = deployment.load(path)
+        if isinstance(settings, errors.Failure):
+            return console.report(settings)
+        address = str(settings.store)
 
     async def within() -> int:
         async with aiohttp.ClientSession() as client:
--- a/galenahatch/peers.py
+++ b/galenahatch/peers.py
@@ -96,7 +96,8 @@
             self._connect(address)
         interval = self.interval
         task_group.run_forever(
-            'heartbeats', lambda: tasks.run_periodically(interval, self._send_heartbeats)
+            'heartbeats',
+            lambda: tasks.run_periodically(interval, self._send_heartbeats),
         )
         poll = self._options.vms_poll
         task_group.run_forever(
--- a/galenahatch/scheduler.py
+++ b/galenahatch/scheduler.py
@@ -63,7 +63,9 @@
     async def start(self) -> None:
         """Open sockets and start tasks."""
         options = self.options
-        self.open_clients(states.Role.SCHEDULER, self._handle_scheduler_message)
+        self.open_clients(
+            states.Role.SCHEDULER, self._handle_scheduler_message
+        )
         self._placement = placement_module.Placement(
             self.config,
             options.data_centre,
@@ -122,7 +124,8 @@
         )
         poll = self.options.load_poll
         keep(
-            'probes', lambda: tasks.run_periodically(lambda: poll, self._poll_loads)
+            'probes',
+            lambda: tasks.run_periodically(lambda: poll, self._poll_loads),
         )
 
     def _busy(self) -> bool:
