--- a/galenahatch/application.py
+++ b/galenahatch/application.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Life cycle that all daemons share.
+"""Life cycle shared by all daemons.
 
-An application object is an aiomisc service: `start` opens sockets and
-starts tasks, `stop` runs on SIGTERM or SIGINT and returns when nothing is
-in flight any more. No timer cuts a stop short.
+An application object is an aiomisc service: `start` opens sockets and starts
+tasks, `stop` runs on SIGTERM or SIGINT and returns when no request is in
+flight. The shutdown has no timeout.
 """
 
 import asyncio
@@ -48,11 +48,11 @@
 
 
 class Daemon(aiomisc.Service):
-    """What every daemon has.
+    """Base class of all daemons.
 
     Attributes:
-        options: settings.
-        tasks: background tasks, cancelled at the end of `stop`.
+        options: Settings.
+        tasks: Background tasks, cancelled at the end of `stop`.
     """
 
     def __init__(self, options: options_module.Options) -> None:
@@ -67,11 +67,11 @@
         raise TypeError('a daemon defines start')
 
     def open_clients(self, role: states.Role, handler: peers.Handler) -> None:
-        """Open the clients of the platform and the engines, and find peers.
+        """Open the clients of the platform, the engines and the peers.
 
         Args:
-            role: of this daemon.
-            handler: takes messages that come over links to schedulers.
+            role: Role of this daemon.
+            handler: Handler of messages received from schedulers.
         """
         options = self.options
         client = http.session(options.platform_token)
@@ -88,7 +88,7 @@
         self.peers = peers.Peers(options, role, self.config, self.vms, handler)
 
     def start_peer_tasks(self) -> None:
-        """Start to talk to peers and to follow the configuration."""
+        """Start heartbeats to peers and updates of the configuration."""
         self.config.set_requester(self.peers.send)
         self.peers.start(self.tasks)
         self.config.start()
@@ -120,7 +120,7 @@
         await site.start()
 
     async def close(self) -> None:
-        """End tasks, then close sockets."""
+        """Cancel background tasks, then close sockets and clients."""
         await self.tasks.stop()
         if self._runner is not None:
             await self._runner.cleanup()
@@ -136,7 +136,8 @@
     """Return the routes of the health checks.
 
     Args:
-        why_not_ready: reason, or empty when the daemon takes traffic.
+        not_ready_reason: Function that returns why the daemon is not ready;
+            empty if it accepts requests.
     """
 
     async def alive(request: web.Request) -> web.Response:
@@ -151,7 +152,7 @@
 
 
 def run(daemon: Daemon, program: str) -> int:
-    """Run a daemon until it is told to stop; return the exit code."""
+    """Run a daemon until it receives a signal; return the exit code."""
     options = daemon.options
     logs.configure(options.log_level, options.log_json)
     telemetry.configure(options.otlp_endpoint, program)
@@ -174,14 +175,14 @@
 
 
 def ignore_signals(log: logs.Log) -> None:
-    """Let further signals not cut a planned stop short."""
+    """Keep further signals from interrupting a graceful shutdown."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, log.info, 'Already leaving.')
 
 
 def report_option_problems(options: options_module.Options) -> bool:
-    """Print every wrong setting; return whether there was none."""
+    """Print every invalid setting; return whether all are valid."""
     failures = options_module.find_problems(options)
     for failure in failures:
         print(f'{failure.reason.name}: {failure.detail}', file=sys.stderr)
--- a/galenahatch/changes.py
+++ b/galenahatch/changes.py
@@ -10,12 +10,12 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Changing the configuration: compare-and-set, recognised when repeated.
+"""Changes of the configuration by compare-and-set.
 
-A change names the revision that its author read. Its body goes to the
-object store under its digest, then one transaction moves the head. The
-head bears the change's random id, so a change whose answer was lost is
-found again by reading the head or the history.
+A change names the revision that its author read. Its body is written to the
+object store under its digest, then one transaction replaces the head. The head
+contains the random id of the change, so if the table's response is lost, the
+outcome is determined by reading the history.
 """
 
 import asyncio
@@ -37,11 +37,11 @@
 
 
 class ChangeHistory:
-    """The history of the configuration.
+    """Client of the configuration's head and history.
 
     Args:
-        tables: the table.
-        stored: the object store.
+        table_client: Client of the table.
+        object_store: Client of the object store.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._objects = object_store
 
     async def read_head(self) -> revision.Head | None | errors.Failure:
-        """Return the newest head; None before the first change."""
+        """Return the newest head, or None before the first change."""
         values = await self._table.read([revision.HEAD_KEY])
         if isinstance(values, errors.Failure):
             return values
@@ -61,14 +61,14 @@
     async def read_bundle(
         self, head: revision.Head
     ) -> schema.Bundle | errors.Failure:
-        """Return the body of a change."""
+        """Read the bundle of a head from the object store."""
         body = await self._objects.get(revision.body_key(head.digest))
         if isinstance(body, errors.Failure):
             return body
         return revision.decode_bundle(body, head.digest)
 
     async def read_history(self) -> list[revision.Head] | errors.Failure:
-        """Return every head, newest first."""
+        """Return all heads, newest first."""
         values = await self._table.scan('config/history/')
         if isinstance(values, errors.Failure):
             return values
@@ -87,17 +87,17 @@
         author: str,
         note: str,
     ) -> revision.Head | errors.Failure:
-        """Make a bundle the next configuration.
+        """Propose a bundle as the next configuration.
 
         Args:
-            bundle: already checked.
-            read: the head that the author saw; None for a first change.
-            author: who applies it.
-            note: one line on the change.
+            bundle: Bundle without problems.
+            base_head: Head on which the change is based; None for the first.
+            author: Name of the author.
+            note: Description in one line.
 
         Returns:
             The accepted head; CHANGE_CONFLICT if another change was
-            accepted first; CHANGE_UNKNOWN if the table can't tell.
+            accepted first; CHANGE_UNKNOWN if the outcome can't be read.
         """
         body = revision.encode(bundle)
         digest = revision.bundle_digest(body)
@@ -120,7 +120,7 @@
     async def _resolve_unconfirmed(
         self, head: revision.Head
     ) -> revision.Head | errors.Failure:
-        """Find out whether a change was accepted after all."""
+        """Read the history to determine whether a change was accepted."""
         key = revision.history_key(head.revision)
         for _ in range(_READ_BACK_ATTEMPTS):
             values = await self._table.read([key])
@@ -164,7 +164,7 @@
 def set_draining(
     bundle: schema.Bundle, upstream: str, drained: bool
 ) -> schema.Bundle:
-    """Return a bundle with one upstream drained or not."""
+    """Return a copy of a bundle with one upstream drained or undrained."""
     others = [name for name in bundle.draining if name != upstream]
     names = [*others, upstream] if drained else others
     return msgspec.structs.replace(bundle, draining=tuple(sorted(names)))
--- a/galenahatch/checks.py
+++ b/galenahatch/checks.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What must hold between the items of a configuration."""
+"""Validation of a configuration's values and references."""
 
 import hashlib
 import typing
@@ -23,12 +23,12 @@
 
 
 class Problem(msgspec.Struct, frozen=True, order=True):
-    """One thing wrong with a configuration.
+    """One problem of a configuration.
 
     Attributes:
-        file: `base`, or the overlay's site.
-        key: path of the key, such as `engines.p1.places`.
-        expected: what should stand there.
+        file: `base`, or the site of the overlay.
+        key: Path of the key, such as `engines.p1.places`.
+        expected: Description of a valid value.
     """
 
     file: str
@@ -39,7 +39,7 @@
 def check_site(
     site: str, config: schema.Config, problems: list[Problem]
 ) -> None:
-    """Check values and references of one site's configuration."""
+    """Check the values and references of one site's configuration."""
 
     def report(key: str, expected: str) -> None:
         problems.append(Problem(site, key, expected))
@@ -131,7 +131,7 @@
 def check_across_sites(
     configs: dict[str, schema.Config], problems: list[Problem]
 ) -> None:
-    """Check that each declared site has an overlay, and agrees."""
+    """Check that each declared site has an overlay and own data centres."""
     declared_sites = {s.name for c in configs.values() for s in c.sites}
     for name in declared_sites - configs.keys():
         problems.append(Problem(BASE, f'sites.{name}', 'an overlay file'))
--- a/galenahatch/clock.py
+++ b/galenahatch/clock.py
@@ -10,14 +10,15 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""The clocks and the random numbers of the programs.
+"""Clocks and random numbers of the programs.
 
-The core takes both as arguments; only the programs read them, here.
+The core takes both as arguments; only the programs read them, through this
+module.
 
-A VM may be suspended. What was promised to others is as old as it is for
-them: leases, deadlines, the age of what the store or a member said. So the
-one clock by which all of it is measured counts that time. The timers of the
-event loop go by a clock that does not; `timeouts` makes up for it.
+A VM may be suspended while leases, deadlines and the age of data from the
+store or a member go on for the other processes. So all of these are measured
+with one clock that includes suspensions. The event loop's timers use a clock
+that does not; `timeouts` compensates for it.
 """
 
 import random
@@ -25,33 +26,34 @@
 import typing
 
 _MIN_SUSPENSION_S: typing.Final = 0.05
-"""Seconds; the process may be interrupted between reading two clocks."""
+"""Smaller differences are ignored, since the process may be interrupted
+between the reads of the two clocks."""
 RANDOM: typing.Final = random.SystemRandom()
 
 
 def now() -> float:
-    """Return monotonic seconds, those of a suspension included."""
+    """Return monotonic time in seconds, including suspensions."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unsuspended() -> float:
-    """Return monotonic seconds in which the VM was not suspended."""
+    """Return monotonic time in seconds, excluding suspensions."""
     return time.monotonic()
 
 
 def total_suspension() -> float:
-    """Return the seconds of all suspensions so far, plus a constant."""
+    """Return the total length of suspensions in seconds, plus a constant."""
     return now() - unsuspended()
 
 
 class SuspensionDetector:
-    """Finds out that the VM was suspended: the clocks have moved apart."""
+    """Detects suspensions of the VM from the difference of two clocks."""
 
     def __init__(self) -> None:
         self._total_s = total_suspension()
 
     def poll(self) -> float:
-        """Return the seconds of suspension since the last look, or 0."""
+        """Return the seconds of suspension since the last poll, or 0."""
         total_s = total_suspension()
         suspension_s = total_s - self._total_s
         if suspension_s < _MIN_SUSPENSION_S:
@@ -61,10 +63,10 @@
 
 
 def random_token() -> str:
-    """Return a fresh random token of 128 bits."""
+    """Return a random token of 128 bits in hexadecimal."""
     return f'{RANDOM.getrandbits(128):032x}'
 
 
 def random_incarnation() -> int:
-    """Return a random number that tells a process from its successor."""
+    """Return a random number that distinguishes a process from a restart."""
     return RANDOM.getrandbits(48)
--- a/galenahatch/config.py
+++ b/galenahatch/config.py
@@ -10,19 +10,19 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Configuration: its schema, how overlays merge, and what must hold.
+"""Merging and validation of configurations.
 
 A configuration is one base text and one overlay text for each site, both
 TOML. The rule for merging an overlay into the base:
 
 * tables merge key by key;
 * a list of tables that have a `name` merges by name; an item with
-  `remove = true` takes the named item away;
+  `remove = true` removes the named item;
 * every other value of the overlay replaces the base's.
 
 The merged tree of each site is converted field by field, so that every
 problem is found in one pass; then the references between items are
-checked. Nothing here reads a file or the clock.
+checked. This module reads neither files nor the clock.
 """
 
 import tomllib
@@ -38,14 +38,14 @@
 
 
 class CheckResult(msgspec.Struct, frozen=True):
-    """What a check gives: a configuration by site, or problems."""
+    """Result of a check: the configuration of each site, and problems."""
 
     sites: dict[str, schema.Config]
     problems: tuple[checks.Problem, ...]
 
 
 def check(bundle: schema.Bundle) -> CheckResult:
-    """Merge and check a bundle for every site."""
+    """Merge and check the configuration of every site in a bundle."""
     problems: list[checks.Problem] = []
     base = _parse(checks.BASE, bundle.base, problems)
     overlays = {
@@ -77,9 +77,9 @@
 def load(bundle: schema.Bundle) -> dict[str, schema.Config] | None:
     """Return the configuration of each site without checking it.
 
-    Daemons use this for what was checked before it was accepted. Unknown
-    keys are ignored, so that a daemon understands what a newer command
-    line wrote. None means that a text can't be used at all.
+    Daemons use this for bundles that were checked before they were accepted.
+    Unknown keys are ignored, so that a daemon can read what a newer command
+    line wrote. Returns None if a text is invalid.
     """
     problems: list[checks.Problem] = []
     base = _parse(checks.BASE, bundle.base, problems)
@@ -95,7 +95,7 @@
 
 
 def _convert_strictly(merged: Tree) -> schema.Config | None:
-    """Convert at once; None if anything is wrong, which is rare."""
+    """Convert a whole tree; return None if it has any problem."""
     if any(_unknown_keys(merged)):
         return None
     try:
@@ -160,7 +160,7 @@
 def _check_unique_names(
     file: str, tree: Tree, problems: list[checks.Problem]
 ) -> None:
-    """Report names that stand twice in one file."""
+    """Report names that occur twice in one list of a file."""
     for key, value in tree.items():
         if not isinstance(value, list):
             continue
@@ -179,7 +179,7 @@
 
 
 def _origin(site: str, overlay: Tree) -> Origin:
-    """Return a function from a key's path to the file that sets it."""
+    """Return a function that maps a key's path to the file that sets it."""
     overlay_paths = set(_key_paths(overlay, ''))
 
     def origin(path: str) -> str:
@@ -217,8 +217,8 @@
 ) -> _T:
     """Convert a table field by field and collect every problem.
 
-    A wrong field takes its default, or an empty value of its type, so that
-    the checks that follow can go on.
+    A missing or invalid field gets its default or an empty value of its type,
+    so that the following checks can continue.
     """
     hints = typing.get_type_hints(kind)
     fields = {field.name: field for field in msgspec.structs.fields(kind)}
@@ -272,7 +272,7 @@
 
 
 def _struct_item_type(hint: typing.Any) -> type[msgspec.Struct] | None:
-    """Return the struct type of a tuple of structs."""
+    """Return the item type of a tuple of structs, or None for other types."""
     if typing.get_origin(hint) is not tuple:
         return None
     item = typing.get_args(hint)[0]
@@ -282,7 +282,7 @@
 
 
 def _without_newtypes(hint: typing.Any) -> typing.Any:
-    """Return a hint with NewType replaced by what it stands for."""
+    """Return a type hint with each NewType replaced by its supertype."""
     if isinstance(hint, typing.NewType):
         return hint.__supertype__
     if typing.get_origin(hint) is tuple:
--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What the operators' commands share: clients, printing, exit codes."""
+"""Clients, output and exit codes shared by the operators' commands."""
 
 import asyncio
 import collections.abc
@@ -48,7 +48,7 @@
 
 
 class Context:
-    """Clients of the platform for one command."""
+    """Settings and platform clients of one command."""
 
     def __init__(
         self, options: options_module.Options, client: aiohttp.ClientSession
@@ -61,7 +61,7 @@
         self.vms = vms.Vms(client, options.vms_url)
 
     async def scheduler_addresses(self) -> list[str]:
-        """Return the IP numbers of VMs that may run a scheduler."""
+        """Return the IP addresses of VMs that may run a scheduler."""
         listed = await self.vms.read()
         addresses = set(self.options.peers)
         if not isinstance(listed, errors.Failure):
@@ -77,7 +77,7 @@
 
 
 def run(settings: options_module.Options | None, command: Command) -> int:
-    """Run a command with clients of the platform."""
+    """Run a command with platform clients and return its exit code."""
     options = settings or options_module.Options()
     for failure in options_module.find_problems(options):
         return report(failure)
--- a/galenahatch/ctl.py
+++ b/galenahatch/ctl.py
@@ -135,9 +135,7 @@
     note: str = '',
     wait: typing.Annotated[
         float,
-        cyclopts.Parameter(
-            help='Seconds to wait until it is in force; 0: no wait.'
-        ),
+        cyclopts.Parameter(help='Seconds to wait until in force; 0: no wait.'),
     ] = 0.0,
     settings: Settings = None,
 ) -> int:
@@ -237,9 +235,7 @@
     return console.run(settings, work)
 
 
-async def _newest(
-    context: console.Context,
-) -> schema.Bundle | errors.Failure:
+async def _newest(context: console.Context) -> schema.Bundle | errors.Failure:
     head = await context.changes.read_head()
     if isinstance(head, errors.Failure):
         return head
--- a/galenahatch/errors.py
+++ b/galenahatch/errors.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Registry of every reason a request or a command can fail for.
+"""Registry of all reasons for which a request or a command fails.
 
-A reason fixes the HTTP status, the outcome told to the caller and the user's
-message. Functions return a `Failure` in place of a value: an expected failure
-is data. Exceptions are left for programming errors.
+A reason defines the HTTP status, the outcome reported to the caller and the
+message for users. Functions return expected failures as a `Failure` in place
+of a value. Exceptions are reserved for programming errors.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller is told of a request; never more than is known."""
+    """Outcome of a request that is reported to the caller, if certain."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not_run'
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Reason:
-    """Why something failed.
+    """Reason for a failure.
 
     Attributes:
-        name: stable identifier for programs.
+        name: Stable identifier for programs.
         status: HTTP status.
-        outcome: what is known of the request.
-        message: one sentence for people.
-        advice: what an operator or caller does about it.
+        outcome: Known outcome of the request.
+        message: One sentence for people.
+        advice: Recommended action for an operator or caller.
     """
 
     name: str
@@ -52,13 +52,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Failure:
-    """A value's stand-in when there is none.
+    """Result of a function that failed for an expected reason.
 
     Attributes:
-        reason: entry of the registry.
-        detail: what was seen, for people.
-        retry_after: seconds after which a new try is useful, if known.
-        ticket: to bring back then, or empty.
+        reason: Entry of the registry.
+        detail: Details of the failure for people.
+        retry_after: Seconds after which to retry; None if unknown.
+        ticket: Ticket to send with the retry; empty for none.
     """
 
     reason: Reason
@@ -68,7 +68,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What is known of the request."""
+        """Known outcome of the request."""
         return self.reason.outcome
 
 
@@ -87,7 +87,7 @@
 _FAILED = Outcome.FAILED
 _UNKNOWN = Outcome.UNKNOWN
 
-# Callers' mistakes. Nothing of these reaches an upstream.
+# Invalid requests. None of them is sent to an upstream.
 BAD_JSON = _reason(
     'bad_json', 400, _NOT_RUN, 'The body is not JSON.', 'Send JSON.'
 )
@@ -162,7 +162,7 @@
     'Shorten it, or raise max_prompt_tokens of the service.',
 )
 
-# Given up before any work was sent.
+# Rejected before any work was sent.
 NO_TIME = _reason(
     'no_time',
     429,
@@ -250,7 +250,7 @@
     'Come back after Retry-After; see the health of the engines.',
 )
 
-# Work was sent, and it is known how it ended.
+# Work was sent, and its outcome is known.
 CALLER_GONE = _reason(
     'caller_gone',
     499,
@@ -352,7 +352,7 @@
     'Report it with the log lines of the request.',
 )
 
-# Between processes and towards the platform.
+# Communication between processes and with the platform.
 BAD_FRAME = _reason(
     'bad_frame',
     400,
--- a/galenahatch/explaining.py
+++ b/galenahatch/explaining.py
@@ -20,7 +20,7 @@
 
 
 def explain(request_id: str, files: list[pathlib.Path], json: bool) -> int:
-    """Show what logs tell of a request."""
+    """Print the log lines of a request and return the exit code."""
     try:
         lines = trace.read_logs(files)
     except OSError as error:
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -12,9 +12,8 @@
 
 """`galenahatchctl gateway ...`: gateways on the users' platform.
 
-Reads the platform's store through the adapter that the gateways use. Only
-`release` writes. Output formats and exit codes are those of the other
-commands.
+Reads the store through the adapter that the gateways use. Only `release`
+writes. Output and exit codes are those of the other commands.
 """
 
 import asyncio
@@ -363,7 +362,7 @@
 ) -> list[scrapes.Samples]:
     """Return the metrics of each gateway that answers."""
     members = filter(roster.is_member, member_rows.rows)
-    reads = [scrapes.scrape(client, row.key) for row in members]
+    reads = [scrapes.scrape(client, member.key) for member in members]
     return [s for s in await asyncio.gather(*reads) if s is not None]
 
 
--- a/galenahatch/logs.py
+++ b/galenahatch/logs.py
@@ -10,14 +10,14 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Logging set-up.
+"""Configuration of logging.
 
 Every part logs through a `Log` with a fixed prefix. A line is a short
 sentence followed by `key=value` fields; with `--log-json` the same line is
-one JSON object. Values that hold spaces or quotes are quoted.
+one JSON object. Values that contain spaces or quotes are quoted.
 
 The gateway writes to standard output through `BoundedHandler`, which never
-waits for a reader and bounds the lines of each kind.
+blocks on a slow reader and limits the rate of each kind of line.
 """
 
 import collections
@@ -36,31 +36,31 @@
     """Logger of one part.
 
     Args:
-        part: prefix of each line, such as `entry`.
+        part: Prefix of each line, such as `entry`.
     """
 
     def __init__(self, part: str) -> None:
         self._logger = logbook.Logger(part)
 
     def debug(self, sentence: str, **fields: Value) -> None:
-        """Log what only a developer needs."""
+        """Log an event that is relevant for developers only."""
         self._logger.debug(sentence, extra=fields)
 
     def info(self, sentence: str, **fields: Value) -> None:
-        """Log what happens in normal operation."""
+        """Log an event of normal operation."""
         self._logger.info(sentence, extra=fields)
 
     def warning(self, sentence: str, **fields: Value) -> None:
-        """Log what the program copes with but an operator may look at."""
+        """Log a problem that the program handles by itself."""
         self._logger.warning(sentence, extra=fields)
 
     def error(self, sentence: str, **fields: Value) -> None:
-        """Log what an operator should look at."""
+        """Log a problem that an operator should investigate."""
         self._logger.error(sentence, extra=fields)
 
 
 def format_value(value: Value) -> str:
-    """Return a field's value as it stands in a text line."""
+    """Return the text of a field's value, quoted if necessary."""
     if isinstance(value, float):
         return f'{value:.4g}'
     text = str(value)
@@ -92,22 +92,22 @@
 
 
 MAX_LINES_PER_SECOND: typing.Final = 200
-"""Lines of one kind in a second. A gateway at the size designed for answers
-some ten requests a second with three lines each; what is over that is a
-storm, whose first lines tell as much."""
+"""Maximum number of lines of one kind in a second. A gateway at its design
+load answers about ten requests a second with three lines each; more lines
+are a storm, whose first lines are sufficient."""
 _MAX_LINE_BYTES: typing.Final = 4000
-"""Bytes of a line; pipes take up to 4096 at once or none."""
+"""Maximum length of a line. A pipe writes up to 4096 bytes atomically."""
 
 
 class BoundedHandler(logbook.Handler):  # type: ignore[misc]
-    """Writes JSON lines to a descriptor without ever waiting.
+    """Writes JSON lines to a file descriptor without blocking.
 
-    A line is dropped if its reader is behind, or if there were too many of
-    its kind in this second; a line of its own tells how many were.
+    A line is dropped if the reader is too slow, or if too many of its kind
+    were logged in the current second; a summary line counts dropped lines.
 
     Args:
-        descriptor: where lines go.
-        level: lowest level that is written.
+        descriptor: File descriptor to write to.
+        level: Lowest level that is written.
     """
 
     def __init__(self, descriptor: int, level: str) -> None:
@@ -120,7 +120,7 @@
         self.dropped: collections.Counter[str] = collections.Counter()
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count that it was left out."""
+        """Write a record, or count it as dropped."""
         self._reset_each_second()
         kind = f'{record.channel}: {record.message}'
         self._line_counts[kind] += 1
@@ -155,16 +155,16 @@
 
 
 def configure_bounded(level: str) -> None:
-    """Send every log line to standard output, bounded, as JSON."""
+    """Write all log lines to standard output as JSON, without blocking."""
     BoundedHandler(sys.stdout.fileno(), level.upper()).push_application()
 
 
 def configure(level: str, as_json: bool) -> None:
-    """Send every log line to standard error from now on.
+    """Write all log lines to standard error.
 
     Args:
-        level: lowest level that is written, such as `info`.
-        as_json: write JSON lines.
+        level: Lowest level that is written, such as `info`.
+        as_json: Whether to write JSON lines in place of text.
     """
     handler = logbook.StreamHandler(sys.stderr, level=level.upper())
     handler.formatter = format_json if as_json else format_text
--- a/galenahatch/main.py
+++ b/galenahatch/main.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Entry points of the programs: settings in, exit code out."""
+"""Entry points of the programs."""
 
 import sys
 import typing
@@ -31,7 +31,7 @@
 
 
 def _run_daemon(name: str, help_text: str, factory: DaemonFactory) -> int:
-    """Read settings, check them and run a daemon."""
+    """Read and check the settings, run a daemon and return the exit code."""
     app = cyclopts.App(
         name=name,
         help=help_text,
--- a/galenahatch/metrics.py
+++ b/galenahatch/metrics.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Instruments of all programs, by OpenTelemetry.
+"""OpenTelemetry instruments of all programs.
 
 Without an endpoint the instruments are no-ops of the API. Names are stable
-and are listed in docs/operators/metrics.md, which a check compares.
+and listed in docs/operators/metrics.md; a check compares the list.
 """
 
 from opentelemetry import metrics as api
--- a/galenahatch/options.py
+++ b/galenahatch/options.py
@@ -12,10 +12,10 @@
 
 """Settings of the programs.
 
-One frozen `Options` object holds all settings; each field is a flag and an
+One frozen `Options` object contains all settings; each field is a flag and an
 environment variable of the same name (`--table-url`,
-`GALENAHATCH_TABLE_URL`). `problems` checks what types can't express, and
-reports every wrong setting at once.
+`GALENAHATCH_TABLE_URL`). `find_problems` checks what types can't express, and
+reports all invalid settings at once.
 """
 
 import dataclasses
@@ -36,34 +36,34 @@
     """Settings; times are seconds, sizes bytes.
 
     Attributes:
-        address: IP number of this VM, which peers connect to.
-        data_centre: where this VM stands.
-        entry_port: callers' HTTP port of every entry.
-        scheduler_port: port of every scheduler.
-        scheduler_http_port: health checks of every scheduler.
-        controller_http_port: health checks of every controller.
+        address: IP address of this VM, to which peers connect.
+        data_centre: data centre of this VM.
+        entry_port: HTTP port of every entry for callers.
+        scheduler_port: port of every scheduler for peers.
+        scheduler_http_port: port of every scheduler for health checks.
+        controller_http_port: port of every controller for health checks.
         table_url: base URL of the platform's table.
         objects_url: base URL of the platform's object store.
         vms_url: base URL of the platform's VM list.
-        peers: IP numbers of schedulers to try before the VM list answers.
+        peers: IP addresses of schedulers to try before the VM list is read.
         platform_token: bearer token for the platform's services.
-        heartbeat: least time between two heartbeats; the interval grows
-            with the number of members so that control stays cheap.
-        silence: heartbeats missed before a member counts as silent.
-        config_poll: time between two reads of the revision.
-        vms_poll: time between two reads of the VM list.
-        load_poll: time between two reads of an engine's load.
+        heartbeat: minimum interval between heartbeats; it grows with the
+            number of members to limit the control traffic.
+        silence: missed heartbeats after which a member counts as silent.
+        config_poll: interval between reads of the revision.
+        vms_poll: interval between reads of the VM list.
+        load_poll: interval between reads of an engine's load.
         claim_group: time for which claims are collected into a group.
         claim_timeout: time after which a claim counts as unconfirmed.
-        connect_timeout: time for a connection to an upstream.
-        idle_timeout: time without a byte from an engine's stream.
-        lease: time for which a controller holds its lease.
-        look_away: time for which a stopping entry keeps listening while
-            the balancer notices.
-        max_body_bytes: largest body of a caller.
-        max_header_bytes: longest header line of a caller.
-        keepalive: time for which an idle caller's connection is kept.
-        otlp_endpoint: where metrics go; empty for nowhere.
+        connect_timeout: timeout for a connection to an upstream.
+        idle_timeout: timeout for a stream of an engine without any bytes.
+        lease: duration of a controller's lease.
+        look_away: time for which a stopping entry continues to listen until
+            the load balancer has noticed.
+        max_body_bytes: largest request body.
+        max_header_bytes: longest header line of a request.
+        keepalive: time for which an idle connection of a caller stays open.
+        otlp_endpoint: URL of the metrics collector; empty for no export.
         log_level: debug, info, warning or error.
         log_json: write log lines as JSON.
     """
@@ -99,7 +99,7 @@
 
 
 def find_problems(options: Options) -> list[errors.Failure]:
-    """Return every wrong setting."""
+    """Return a failure for each invalid setting."""
     failures: list[errors.Failure] = []
 
     def report(name: str, expected: str) -> None:
@@ -155,7 +155,7 @@
 
 
 def masked_settings(options: Options) -> dict[str, typing.Any]:
-    """Return the settings with every secret masked."""
+    """Return the settings with all secrets masked."""
     settings = dataclasses.asdict(options)
     for name, value in settings.items():
         if value and any(mark in name for mark in _SECRET_NAME_PARTS):
--- a/galenahatch/queries.py
+++ b/galenahatch/queries.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Questions of the command line to all schedulers at once."""
+"""Queries that the command line sends to all schedulers concurrently."""
 
 import asyncio
 import collections.abc
@@ -31,7 +31,7 @@
     port: int,
     query: messages.AnyMessage,
 ) -> dict[str, messages.AnyMessage]:
-    """Return the answer of each scheduler that gave one, by IP number."""
+    """Return the replies of all schedulers that answer, by IP address."""
     context = zmq.asyncio.Context()
     try:
         replies = await asyncio.gather(
@@ -69,7 +69,7 @@
 def newest_heartbeats(
     replies: collections.abc.Mapping[str, messages.AnyMessage],
 ) -> list[messages.Heartbeat]:
-    """Return each daemon as the scheduler with the newest word has it."""
+    """Return each daemon's heartbeat with the newest revision."""
     newest: dict[ids.MemberId, messages.Heartbeat] = {}
     for reply in replies.values():
         if not isinstance(reply, messages.StatusReply):
@@ -84,7 +84,7 @@
 def highest_loads(
     replies: collections.abc.Mapping[str, messages.AnyMessage],
 ) -> list[messages.EngineLoad]:
-    """Return each engine as its busiest owner has it."""
+    """Return each engine's load report with the most reserved places."""
     highest: dict[ids.EngineName, messages.EngineLoad] = {}
     for reply in replies.values():
         if not isinstance(reply, messages.StatusReply):
@@ -97,5 +97,5 @@
 
 
 def request_id(text: str) -> ids.RequestId:
-    """Return a request id."""
+    """Convert text to a request id."""
     return ids.RequestId(text)
--- a/galenahatch/schema.py
+++ b/galenahatch/schema.py
@@ -10,10 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Schema of the configuration: what operators declare.
+"""Schema of the configuration.
 
-The structs hold one site's merged configuration. Their doc comments are
-the operators' reference.
+The structs contain the merged configuration of one site. The operators'
+reference is generated from their docstrings.
 """
 
 import functools
@@ -33,12 +33,12 @@
 
 
 class Site(msgspec.Struct, frozen=True):
-    """A place with a configuration overlay of its own.
+    """A group of data centres with its own configuration overlay.
 
     Attributes:
-        name: unique.
-        region: sites of one region schedule together.
-        data_centres: whose VMs belong to the site.
+        name: unique name.
+        region: region; sites of one region are scheduled together.
+        data_centres: data centres whose VMs belong to the site.
     """
 
     name: ids.SiteName
@@ -50,23 +50,24 @@
     """A model that callers ask for by name.
 
     Attributes:
-        name: what callers put in `model`.
-        model: what the engines load.
-        adapter: adapter on top of the model, or empty.
-        version: of the model.
-        urgency: urgent, normal or bulk, unless the caller says otherwise.
+        name: value of `model` in callers' requests.
+        model: model that the engines load.
+        adapter: adapter loaded with the model; empty for none.
+        version: version of the model.
+        urgency: default priority class: urgent, normal or bulk.
         first_token_ms: target for the time to the first token.
         between_tokens_ms: target for the time between tokens.
         wait_ms: longest wait in the queue; a request that can't start by
-            then is given up at once. 0 means the first-token target.
-        deadline_ms: for the whole answer, unless the caller says less.
-        max_prompt_tokens: longer prompts are refused.
+            then is rejected at once. 0 means the first-token target.
+        deadline_ms: longest time for the whole response; callers may ask
+            for less.
+        max_prompt_tokens: longest accepted prompt.
         max_output_tokens: largest `max_tokens` of a request.
-        bytes_per_token: to estimate a prompt's length.
-        waste_weight: how strongly wasted prefill counts against starting
-            early: 0 starts as soon as a place is predicted to be free in
-            time, 1 only when one is free now.
-        retry_share: retries allowed per request answered.
+        bytes_per_token: ratio to estimate a prompt's length in tokens.
+        waste_weight: cost of wasted prefill relative to an early start:
+            0 starts as soon as a place is predicted to be free in time,
+            1 only when a place is free now.
+        retry_share: retries allowed per answered request.
     """
 
     name: ids.ServiceName
@@ -89,18 +90,18 @@
     """A model engine.
 
     Attributes:
-        name: unique.
+        name: unique name.
         service: model service that it serves.
         role: prefill or decode.
-        data_centre: where its VM stands.
-        address: IP number.
+        data_centre: data centre of its VM.
+        address: IP address.
         port: HTTP port.
-        places: requests that its memory holds.
+        places: number of requests that fit in its memory.
         prefill_tokens_per_second: declared speed; corrected by reports.
         kv_bytes_per_token: size of the KV cache that is transferred.
-        link_bytes_per_second: rate of its link.
-        eviction_ms: time for which a prefill's result is kept.
-        checks_fencing: refuses an order with an old fencing number.
+        link_bytes_per_second: bandwidth of its link.
+        eviction_ms: time for which the result of a prefill is kept.
+        checks_fencing: whether it refuses orders with an old fencing token.
     """
 
     name: ids.EngineName
@@ -121,10 +122,10 @@
     """A service that is not a model.
 
     Attributes:
-        name: unique; the path below /v1/services/.
+        name: unique name; the path below /v1/services/.
         upstreams: base URLs, nearest first.
         unrepeatable: `METHOD /path-prefix` of calls that run at most once.
-        timeout_ms: for one call.
+        timeout_ms: timeout of one call.
     """
 
     name: ids.ServiceName
@@ -134,14 +135,14 @@
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """Who may send requests.
+    """A client that may send requests.
 
     Attributes:
-        name: unique.
-        token_sha256: digest of the bearer token, in hexadecimal.
-        share: weight against other callers of the same urgency.
-        urgency: best class that the caller may ask for.
-        max_waiting: requests that it may have in a queue at once.
+        name: unique name.
+        token_sha256: SHA-256 digest of the bearer token, in hexadecimal.
+        share: weight relative to other callers of the same urgency.
+        urgency: highest priority class that the caller may ask for.
+        max_waiting: most requests that it may have in a queue at once.
     """
 
     name: ids.CallerName
@@ -186,7 +187,7 @@
         return {caller.name: caller for caller in self.callers}
 
     def site_of_data_centre(self, data_centre: ids.DataCentre) -> Site | None:
-        """Return the site that a data centre belongs to."""
+        """Return the site of a data centre."""
         return self._site_by_centre.get(data_centre)
 
     def service(self, name: str) -> ModelService | None:
@@ -206,18 +207,18 @@
         return self._caller_by_name.get(name)
 
     def caller_by_token(self, token: str) -> Caller | None:
-        """Return the caller that a bearer token belongs to."""
+        """Return the caller with a bearer token."""
         digest = hashlib.sha256(token.encode()).hexdigest()
         return self._caller_by_digest.get(digest)
 
 
 class Bundle(msgspec.Struct, frozen=True):
-    """A whole configuration as operators wrote it.
+    """A complete configuration as written by operators.
 
     Attributes:
         base: TOML text.
         overlays: TOML text by site.
-        draining: upstreams that `galenahatchctl drain` took out.
+        draining: upstreams drained by `galenahatchctl drain`.
     """
 
     base: str
@@ -226,5 +227,5 @@
 
 
 def urgency_by_name(name: str) -> states.Urgency | None:
-    """Return the class of a name."""
+    """Return a priority class by name, or None if there is none."""
     return URGENCY_BY_NAME.get(name)
--- a/galenahatch/scrapes.py
+++ b/galenahatch/scrapes.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Reads the metrics of gateways, as operators' commands show them."""
+"""Scrapes the metrics of gateways for the operators' commands."""
 
 import asyncio
 import re
@@ -22,18 +22,19 @@
 from galenahatch.gateway import node
 
 _SCRAPE_TIMEOUT_S: typing.Final = 1.0
-"""Seconds for a gateway's metrics; they take some ms."""
+"""Timeout for the scrape of one gateway, which takes a few ms."""
 _SAMPLE: typing.Final = re.compile(
     r'(?P<name>\w+)(?:\{(?P<labels>[^}]*)\})? (?P<value>\S+)'
 )
 _SUBJECT: typing.Final = re.compile(r'(?:customer|upstream)="([^"]*)"')
 
 Samples = dict[tuple[str, str], float]
-"""Values by metric and customer or upstream; empty where there is none."""
+"""Values by metric name and customer or upstream, which is empty for metrics
+without such a label."""
 
 
 def parse(text: str) -> Samples:
-    """Return the samples of a scrape; of other labels all are added up."""
+    """Parse a scrape and sum the samples over all other labels."""
     samples: Samples = {}
     for line in text.splitlines():
         match = _SAMPLE.fullmatch(line)
@@ -48,7 +49,7 @@
 async def scrape(
     client: aiohttp.ClientSession, address: str
 ) -> Samples | None:
-    """Return the samples of a gateway; None if it does not answer."""
+    """Return the samples of a gateway, or None if it does not answer."""
     url = f'http://{address}:{node.METRICS_PORT}/metrics'
     timeout = aiohttp.ClientTimeout(total=_SCRAPE_TIMEOUT_S)
     try:
@@ -61,17 +62,17 @@
 
 
 def config_version(samples: Samples) -> int:
-    """Return the version of the configuration that a gateway has."""
+    """Return the version of a gateway's configuration."""
     return int(samples.get((instruments.CONFIG_VERSION, ''), 0))
 
 
 def store_era(samples: Samples) -> int:
-    """Return the newest era of the store that a gateway has heard of."""
+    """Return the newest store era known to a gateway."""
     return int(samples.get((instruments.STORE_ERA, ''), 0))
 
 
 def customer_usage(samples: Samples, name: str) -> tuple[float, float]:
-    """Return the units and the refusals that a gateway has counted."""
+    """Return a customer's used units and refused requests at a gateway."""
     return (
         samples.get((f'{instruments.CUSTOMER_UNITS}_total', name), 0.0),
         samples.get((f'{instruments.CUSTOMER_REFUSED}_total', name), 0.0),
@@ -79,7 +80,7 @@
 
 
 def values_by_upstream(samples: Samples, metric: str) -> dict[str, float]:
-    """Return the values of a metric, by upstream."""
+    """Return the values of a metric by upstream."""
     return {
         subject: value
         for (name, subject), value in samples.items()
--- a/galenahatch/states.py
+++ b/galenahatch/states.py
@@ -10,13 +10,13 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""States that messages carry."""
+"""Enumerations that are sent in messages."""
 
 import enum
 
 
 class Role(enum.Enum):
-    """Which program a daemon is."""
+    """Program that a daemon runs."""
 
     ENTRY = 'entry'
     SCHEDULER = 'scheduler'
@@ -24,14 +24,14 @@
 
 
 class Standing(enum.Enum):
-    """Whether something takes new work."""
+    """Whether a daemon accepts new work."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class Urgency(enum.IntEnum):
-    """Class of a request; a lower number is served first."""
+    """Priority class of a request; lower numbers are served first."""
 
     URGENT = 0
     NORMAL = 1
@@ -39,7 +39,7 @@
 
 
 class Stage(enum.Enum):
-    """How far an attempt is."""
+    """Stage of an attempt."""
 
     PREFILL = 'prefill'
     TRANSFER = 'transfer'
@@ -47,14 +47,14 @@
 
 
 class ClaimStatus(enum.Enum):
-    """What the table holds for a key, seen from one token.
+    """Status of a key's claim in the table, relative to one token.
 
     Attributes:
-        MINE: this token.
-        OTHERS: another token.
-        ABSENT: nothing: the claim was not confirmed, and the key has no
-            earlier claim either.
-        UNREAD: not known, the table can't be read.
+        MINE: The claim has this token.
+        OTHERS: The claim has another token.
+        ABSENT: There is no claim: this one was not confirmed, and the key
+            has no earlier claim.
+        UNREAD: Unknown, because the table can't be read.
     """
 
     MINE = 'mine'
@@ -64,7 +64,7 @@
 
 
 class HolderState(enum.Enum):
-    """What is known of a claim's holder and its token."""
+    """State of the process that holds a claim, and of its token."""
 
     RUNNING = 'running'
     ABANDONED = 'abandoned'
--- a/galenahatch/tasks.py
+++ b/galenahatch/tasks.py
@@ -12,8 +12,8 @@
 
 """Background tasks of an application object.
 
-A task that fails is logged and started again after a pause, so that one
-unexpected answer never stops a daemon's part for good.
+A task that fails is logged and restarted after a delay, so that one unexpected
+response never stops a part of a daemon permanently.
 """
 
 import asyncio
@@ -31,24 +31,24 @@
 
 
 class Tasks:
-    """The tasks of one application object."""
+    """Background tasks of one application object."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def run_forever(self, name: str, work: Work) -> None:
-        """Run something until the application stops.
+        """Run a task until the application stops, with restarts.
 
         Args:
-            name: for the log.
-            work: called again should it fail.
+            name: Name of the task in log lines.
+            work: Function that is called again when it returns or fails.
         """
         self._add(asyncio.create_task(_run_with_restarts(name, work)))
 
     def run_once(
         self, work: collections.abc.Coroutine[None, None, None]
     ) -> asyncio.Task[None]:
-        """Run something to its end."""
+        """Run a task once and log its failure."""
         task = asyncio.create_task(_run_logging_failure(work))
         self._add(task)
         return task
@@ -93,11 +93,11 @@
         [], collections.abc.Coroutine[None, None, None]
     ],
 ) -> None:
-    """Do something again and again.
+    """Call a function periodically, without end.
 
     Args:
-        seconds: pause between two runs, asked anew each time.
-        work: what to do.
+        interval_s: Function that returns the seconds until the next call.
+        work: Function to call.
     """
     while True:
         await work()
--- a/galenahatch/telemetry.py
+++ b/galenahatch/telemetry.py
@@ -12,8 +12,8 @@
 
 """Export of metrics over OTLP/HTTP.
 
-Apart from the instruments (`metrics`): loading the exporter takes some 30 ms
-and 2 MB, which a program that serves its metrics itself need not pay.
+Separate from the instruments (`metrics`): loading the exporter takes about
+30 ms and 2 MB, which a program that serves its own metrics does not need.
 """
 
 import typing
@@ -28,11 +28,11 @@
 
 
 def configure(endpoint: str, program: str) -> None:
-    """Export metrics over OTLP/HTTP when an endpoint is set.
+    """Export metrics over OTLP/HTTP if an endpoint is set.
 
     Args:
-        endpoint: URL of the collector, or empty.
-        program: service name that the collector shows.
+        endpoint: URL of the collector; empty for no export.
+        program: Service name that the collector shows.
     """
     if not endpoint:
         return
--- a/galenahatch/timeouts.py
+++ b/galenahatch/timeouts.py
@@ -10,18 +10,18 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Time limits on what has not come, not on what was not read yet.
-
-An event loop that did not run for a while, since its VM did other work or was
-frozen, comes to its timers before it is through with what has come meanwhile:
-a connection, for one, takes it several turns. It would give up a connection
-that was made at once, or an answer that is ready. So a limit that has run out
-lets the loop turn a few times, and only what is still missing then is given
-up.
-
-The timers of a loop do not count the time in which the VM was suspended, and
-those to whom an answer was promised do. So limits are moved up by that time
-once it is noticed (`catch_up`).
+"""Timeouts that process pending I/O before they expire.
+
+After a pause of the event loop, because its VM was busy or suspended, expired
+timers run before I/O that arrived meanwhile is processed completely: a
+connection takes several iterations of the loop. A plain timeout would abandon
+a connection that is established or a response that is ready. So an expired
+timeout first lets the loop run a few iterations and cancels only what is still
+incomplete then.
+
+The timers of the event loop do not count the time in which the VM was
+suspended, but callers that wait for a response do. So timeouts are shortened
+by that time once the suspension is detected (`deduct_suspension`).
 """
 
 import asyncio
@@ -32,18 +32,18 @@
 from galenahatch import clock
 
 _GRACE_ITERATIONS: typing.Final = 12
-"""Turns of the loop for which what has come is still taken. The HTTP library
-needs four for a connection, over either loop (found by running the tests of
-pauses with fewer), and this is three times that. A turn without work costs 2
-to 4 us of a processor."""
+"""Loop iterations in which pending I/O is processed before a timeout expires.
+The HTTP library needs four for a connection with either event loop; the tests
+of pauses fail with fewer. This is three times that. An idle iteration costs 2
+to 4 us of CPU time."""
 
 
 class Timer:
-    """Ends a scope when its time is over and nothing has come.
+    """Expires a timeout scope after pending I/O has been processed.
 
     Args:
-        scope: of `asyncio.timeout`, without a limit of its own.
-        seconds: from now on; None for no limit.
+        scope: Scope of `asyncio.timeout(None)`, without its own deadline.
+        seconds: Timeout in seconds from now; None for no timeout.
     """
 
     def __init__(self, scope: asyncio.Timeout, seconds: float | None) -> None:
@@ -56,17 +56,17 @@
             self._schedule()
 
     def cancel(self) -> None:
-        """End nothing any more; to be called when the scope is left."""
+        """Stop the timer; must be called when the scope exits."""
         _ACTIVE_TIMERS.discard(self)
         if self._handle is not None:
             self._handle.cancel()
 
     def shorten(self, seconds: float) -> None:
-        """Ring earlier; only for one whose time is not over yet.
+        """Expire earlier; only for a timer that has not expired yet.
 
         Args:
-            seconds: of a suspension; one that was over as this was set does
-                not count.
+            seconds: Length of a suspension in seconds. The part before the
+                timer was set is not deducted.
         """
         if self._handle is not None:
             self._handle.cancel()
@@ -93,11 +93,11 @@
 
 
 _ACTIVE_TIMERS: typing.Final[set[Timer]] = set()
-"""Alarms whose time is not over."""
+"""Timers that have not expired yet."""
 
 
 def deduct_suspension(seconds: float) -> int:
-    """Move all limits up by a suspension; return how many there are."""
+    """Shorten all active timers by a suspension; return their number."""
     timers = list(_ACTIVE_TIMERS)
     for timer in timers:
         timer.shorten(seconds)
@@ -106,13 +106,14 @@
 
 @contextlib.asynccontextmanager
 async def limit(seconds: float | None) -> collections.abc.AsyncIterator[None]:
-    """Limit the time that is spent within.
+    """Limit the duration of a block.
 
     Args:
-        seconds: at the most; None for no limit.
+        seconds: Timeout in seconds; None for no timeout.
 
     Raises:
-        asyncio.TimeoutError: the time is over, and nothing has come.
+        asyncio.TimeoutError: The timeout expired and no pending I/O completed
+            the block.
     """
     async with asyncio.timeout(None) as scope:
         timer = Timer(scope, seconds)
@@ -123,6 +124,6 @@
 
 
 async def process_pending_events() -> None:
-    """Return when the loop has read what came while it did not run."""
+    """Wait until the loop has processed I/O that arrived during a pause."""
     for _ in range(_GRACE_ITERATIONS):
         await asyncio.sleep(0)
--- a/galenahatch/trace.py
+++ b/galenahatch/trace.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""From a request's id to its cause, in the logs of gateways.
+"""Finds the log lines of a request in the logs of gateways.
 
-A line belongs to a request if it names it, or one of its streams. Lines
-that tell what had become of an upstream of the request shortly before are
-shown with them, since they often are the cause.
+A line belongs to a request if it has the id of the request or of one of its
+streams. Recent events of the request's upstreams are included, since they are
+often the cause of a failure.
 """
 
 import collections.abc
@@ -25,8 +25,8 @@
 import msgspec
 
 _EVENT_WINDOW_S: typing.Final = 10.0
-"""Seconds before a request's first line in which news of its upstreams are
-shown; longer than any bound on such news."""
+"""Seconds before the first line of a request from which events of its
+upstreams are included; longer than any limit on the delay of such events."""
 _STANDARD_KEYS: typing.Final = ('time', 'level', 'part', 'message')
 
 
@@ -34,10 +34,10 @@
     """One line of a log.
 
     Attributes:
-        at: time as written.
-        part: that wrote it.
-        message: its sentence.
-        fields: everything else.
+        at: Time as written in the log.
+        part: Part of the program that logged the line.
+        message: Log sentence.
+        fields: All other keys of the line.
     """
 
     at: str
@@ -58,10 +58,10 @@
 
 
 def read_logs(files: collections.abc.Iterable[pathlib.Path]) -> list[Line]:
-    """Return the lines of some logs in the order of their times.
+    """Read log files and return their lines, sorted by time.
 
-    What stands before the first brace of a line, as collectors write it, is
-    left out; so is a line that is no JSON object.
+    Text before the first brace of a line, such as the prefix of a log
+    collector, is ignored; so are lines without a JSON object.
     """
     lines = []
     for file in files:
@@ -94,7 +94,7 @@
 def request_lines(
     lines: collections.abc.Sequence[Line], request: str
 ) -> list[Line]:
-    """Return the lines of a request, and the news of its upstreams."""
+    """Return the lines of a request and recent events of its upstreams."""
     request_own = [line for line in lines if _is_of_request(line, request)]
     if not request_own:
         return []
@@ -124,7 +124,10 @@
 
 
 def _event_window_start(time: str) -> str:
-    """Return a time that is some seconds before another."""
+    """Return the start of the event window before a time.
+
+    A time that is not in ISO format is returned unchanged.
+    """
 
     try:
         parsed = datetime.datetime.fromisoformat(time)
--- a/galenahatch/trail.py
+++ b/galenahatch/trail.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Decision lines kept for `galenahatchctl explain`, bounded."""
+"""Bounded store of scheduling decisions for `galenahatchctl explain`."""
 
 import collections
 import typing
@@ -22,7 +22,7 @@
 
 
 class DecisionTrail:
-    """The last decision lines of the last requests."""
+    """Decision lines of the most recent requests."""
 
     def __init__(self) -> None:
         self._lines: collections.OrderedDict[ids.RequestId, list[str]] = (
@@ -30,7 +30,7 @@
         )
 
     def add(self, request: ids.RequestId, line: str) -> None:
-        """Keep a line."""
+        """Add a line; lines above the limit of a request are dropped."""
         lines = self._lines.setdefault(request, [])
         if len(lines) < _MAX_LINES_PER_REQUEST:
             lines.append(line)
