--- a/galenahatch/application.py
+++ b/galenahatch/application.py
@@ -100,7 +100,7 @@
         keepalive: float,
         max_header_bytes: int = 8190,
     ) -> None:
-        """Serve HTTP on this VM's address."""
+        """Serve HTTP on the address of this VM."""
         self._runner = web.AppRunner(
             app,
             access_log=None,
@@ -177,8 +177,10 @@
 def ignore_signals(log: logs.Log) -> None:
     """Keep further signals from interrupting a graceful shutdown."""
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, log.info, 'Already leaving.')
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(
+            signal_number, log.info, 'Already shutting down.'
+        )
 
 
 def report_option_problems(options: options_module.Options) -> bool:
--- a/galenahatch/changes.py
+++ b/galenahatch/changes.py
@@ -104,9 +104,9 @@
         failure = await self._objects.put(revision.body_key(digest), body)
         if failure is not None:
             return failure
-        number = (base_head.revision if base_head else 0) + 1
+        next_revision = (base_head.revision if base_head else 0) + 1
         head = revision.Head(
-            ids.Revision(number),
+            ids.Revision(next_revision),
             ids.ChangeId(clock.random_token()),
             digest,
             author,
@@ -165,6 +165,6 @@
     bundle: schema.Bundle, upstream: str, drained: bool
 ) -> schema.Bundle:
     """Return a copy of a bundle with one upstream drained or undrained."""
-    others = [name for name in bundle.draining if name != upstream]
-    names = [*others, upstream] if drained else others
-    return msgspec.structs.replace(bundle, draining=tuple(sorted(names)))
+    other_names = [name for name in bundle.draining if name != upstream]
+    draining = [*other_names, upstream] if drained else other_names
+    return msgspec.structs.replace(bundle, draining=tuple(sorted(draining)))
--- a/galenahatch/checks.py
+++ b/galenahatch/checks.py
@@ -44,7 +44,7 @@
     def report(key: str, expected: str) -> None:
         problems.append(Problem(site, key, expected))
 
-    if all(s.name != site for s in config.sites):
+    if all(declared.name != site for declared in config.sites):
         report('sites', f'a site named {site!r}')
     _check_services(config, report)
     _check_engines(config, report)
@@ -82,22 +82,26 @@
             report(f'{key}.bytes_per_token', 'more than 0')
         for role in ('prefill', 'decode'):
             if not any(
-                e.service == service.name and e.role == role
-                for e in config.engines
+                engine.service == service.name and engine.role == role
+                for engine in config.engines
             ):
                 report(key, f'at least one {role} engine at this site')
 
 
 def _check_engines(config: schema.Config, report: ReportProblem) -> None:
     services = {service.name for service in config.services}
-    centres = {c for site in config.sites for c in site.data_centres}
+    data_centres = {
+        data_centre
+        for site in config.sites
+        for data_centre in site.data_centres
+    }
     for engine in config.engines:
         key = f'engines.{engine.name}'
         if engine.service not in services:
             report(f'{key}.service', 'a declared service')
         if engine.role not in ('prefill', 'decode'):
             report(f'{key}.role', 'one of: prefill, decode')
-        if engine.data_centre not in centres:
+        if engine.data_centre not in data_centres:
             report(f'{key}.data_centre', 'a data centre of a site')
         if not 0 < engine.port < 65536:
             report(f'{key}.port', 'a port from 1 to 65535')
@@ -121,8 +125,8 @@
             if not method.isupper() or not path.startswith('/'):
                 report(f'{key}.unrepeatable', "'METHOD /path', not " + call)
     upstreams = {str(engine.name) for engine in config.engines}
-    for plain in config.plain_services:
-        upstreams.update(plain.upstreams)
+    for service in config.plain_services:
+        upstreams.update(service.upstreams)
     for name in config.draining:
         if name not in upstreams:
             report('draining', f'a declared upstream, not {name!r}')
@@ -132,15 +136,17 @@
     configs: dict[str, schema.Config], problems: list[Problem]
 ) -> None:
     """Check that each declared site has an overlay and own data centres."""
-    declared_sites = {s.name for c in configs.values() for s in c.sites}
+    declared_sites = {
+        site.name for config in configs.values() for site in config.sites
+    }
     for name in declared_sites - configs.keys():
         problems.append(Problem(BASE, f'sites.{name}', 'an overlay file'))
     site_by_centre: dict[str, str] = {}
     for config in configs.values():
         for site in config.sites:
-            for centre in site.data_centres:
-                first_site = site_by_centre.setdefault(centre, site.name)
+            for data_centre in site.data_centres:
+                first_site = site_by_centre.setdefault(data_centre, site.name)
                 if first_site != site.name:
-                    expected = f'{centre!r} in one site, not two'
+                    expected = f'{data_centre!r} in one site, not two'
                     key = f'sites.{site.name}.data_centres'
                     problems.append(Problem(BASE, key, expected))
--- a/galenahatch/config.py
+++ b/galenahatch/config.py
@@ -94,25 +94,25 @@
     return None if problems else configs
 
 
-def _convert_strictly(merged: Tree) -> schema.Config | None:
+def _convert_strictly(tree: Tree) -> schema.Config | None:
     """Convert a whole tree; return None if it has any problem."""
-    if any(_unknown_keys(merged)):
+    if any(_unknown_keys(tree)):
         return None
     try:
-        return msgspec.convert(merged, schema.Config)
+        return msgspec.convert(tree, schema.Config)
     except msgspec.ValidationError:
         return None
 
 
-def _unknown_keys(merged: Tree) -> typing.Iterator[str]:
+def _unknown_keys(tree: Tree) -> typing.Iterator[str]:
     hints = typing.get_type_hints(schema.Config)
-    for key, value in merged.items():
+    for key, value in tree.items():
         if key not in hints:
             yield key
             continue
-        kind = _struct_item_type(hints[key])
-        if kind is not None and isinstance(value, list):
-            known_fields = set(kind.__struct_fields__)
+        item_type = _struct_item_type(hints[key])
+        if item_type is not None and isinstance(value, list):
+            known_fields = set(item_type.__struct_fields__)
             for item in value:
                 if not isinstance(item, dict) or item.keys() - known_fields:
                     yield key
@@ -164,15 +164,15 @@
     for key, value in tree.items():
         if not isinstance(value, list):
             continue
-        seen: set[str] = set()
+        seen_names: set[str] = set()
         for item in value:
             name = item.get('name') if isinstance(item, dict) else None
-            if isinstance(name, str) and name in seen:
+            if isinstance(name, str) and name in seen_names:
                 expected = f'one item named {name!r}'
                 problems.append(
                     checks.Problem(file, f'{key}.{name}', expected)
                 )
-            seen.add(str(name))
+            seen_names.add(str(name))
 
 
 Origin = typing.Callable[[str], str]
@@ -199,17 +199,17 @@
             yield from _key_paths(item, f'{path}.{_item_name(item, number)}')
 
 
-def _item_name(item: typing.Any, number: int) -> str:
+def _item_name(item: typing.Any, index: int) -> str:
     if isinstance(item, dict) and isinstance(item.get('name'), str):
         return str(item['name'])
-    return str(number)
+    return str(index)
 
 
 _T = typing.TypeVar('_T', bound=msgspec.Struct)
 
 
 def _convert(
-    kind: type[_T],
+    struct_type: type[_T],
     tree: Tree,
     path: str,
     origin: Origin,
@@ -220,8 +220,10 @@
     A missing or invalid field gets its default or an empty value of its type,
     so that the following checks can continue.
     """
-    hints = typing.get_type_hints(kind)
-    fields = {field.name: field for field in msgspec.structs.fields(kind)}
+    hints = typing.get_type_hints(struct_type)
+    fields = {
+        field.name: field for field in msgspec.structs.fields(struct_type)
+    }
     values: Tree = {}
     for key, value in tree.items():
         field_path = f'{path}.{key}' if path else key
@@ -241,7 +243,7 @@
             expected = f'a value: {_type_name(hints[name])}'
             problems.append(checks.Problem(origin(path), field_path, expected))
             values[name] = _empty_value(hints[name])
-    return kind(**values)
+    return struct_type(**values)
 
 
 def _convert_field(
@@ -251,17 +253,17 @@
     origin: Origin,
     problems: list[checks.Problem],
 ) -> typing.Any:
-    item_kind = _struct_item_type(hint)
-    if item_kind is not None and isinstance(value, list):
+    item_type = _struct_item_type(hint)
+    if item_type is not None and isinstance(value, list):
         return tuple(
             _convert(
-                item_kind,
+                item_type,
                 item if isinstance(item, dict) else {},
-                f'{path}.{_item_name(item, number)}',
+                f'{path}.{_item_name(item, index)}',
                 origin,
                 problems,
             )
-            for number, item in enumerate(value)
+            for index, item in enumerate(value)
         )
     try:
         return msgspec.convert(value, _without_newtypes(hint))
@@ -296,9 +298,9 @@
     plain_type = _without_newtypes(hint)
     if typing.get_origin(plain_type) is tuple:
         return f'a list of {_type_name(typing.get_args(plain_type)[0])}'
-    names = {str: 'text', int: 'a whole number', float: 'a number'}
-    names[bool] = 'true or false'
-    return names.get(
+    names_by_type = {str: 'text', int: 'a whole number', float: 'a number'}
+    names_by_type[bool] = 'true or false'
+    return names_by_type.get(
         plain_type, getattr(plain_type, '__name__', str(plain_type))
     )
 
--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -109,9 +109,11 @@
         items = [dict(zip(headings, row, strict=True)) for row in rows]
         print(msgspec.json.encode(items).decode())
         return
-    texts = [[str(cell) for cell in row] for row in rows]
-    lines = [list(headings), *texts]
+    cell_rows = [[str(cell) for cell in row] for row in rows]
+    lines = [list(headings), *cell_rows]
     widths = [max(len(row[i]) for row in lines) for i in range(len(headings))]
     for row in lines:
-        cells = (cell.ljust(w) for cell, w in zip(row, widths, strict=True))
+        cells = (
+            cell.ljust(width) for cell, width in zip(row, widths, strict=True)
+        )
         print('  '.join(cells).rstrip())
--- a/galenahatch/ctl.py
+++ b/galenahatch/ctl.py
@@ -151,22 +151,22 @@
             return console.report(errors.Failure(errors.CHANGE_CONFLICT, by))
         draining: tuple[str, ...] = ()
         if head is not None:
-            before = await context.changes.read_bundle(head)
-            if isinstance(before, errors.Failure):
-                return console.report(before)
-            draining = before.draining
+            old_bundle = await context.changes.read_bundle(head)
+            if isinstance(old_bundle, errors.Failure):
+                return console.report(old_bundle)
+            draining = old_bundle.draining
         bundle = read_bundle(directory, draining)
         if isinstance(bundle, errors.Failure):
             return console.report(bundle)
         failure = _check(bundle, False)
         if failure is not None:
             return console.report(failure)
-        return await _accept(context, bundle, head, note, wait)
+        return await _apply(context, bundle, head, note, wait)
 
     return console.run(settings, work)
 
 
-async def _accept(
+async def _apply(
     context: console.Context,
     bundle: schema.Bundle,
     head: revision.Head | None,
@@ -277,7 +277,7 @@
         heads = await context.changes.read_history()
         if isinstance(heads, errors.Failure):
             return console.report(heads)
-        texts = []
+        line_lists = []
         for number in (old, new):
             head = next((h for h in heads if h.revision == number), None)
             if head is None:
@@ -286,9 +286,9 @@
             bundle = await context.changes.read_bundle(head)
             if isinstance(bundle, errors.Failure):
                 return console.report(bundle)
-            texts.append(_format_bundle(bundle).splitlines())
+            line_lists.append(_format_bundle(bundle).splitlines())
         lines = difflib.unified_diff(
-            texts[0], texts[1], f'revision {old}', f'revision {new}'
+            line_lists[0], line_lists[1], f'revision {old}', f'revision {new}'
         )
         print('\n'.join(line.rstrip('\n') for line in lines))
         return console.SUCCESS
@@ -358,15 +358,15 @@
         return console.report(head)
     if head is None:
         return console.report(errors.Failure(errors.NO_CONFIGURATION))
-    before = await context.changes.read_bundle(head)
-    if isinstance(before, errors.Failure):
-        return console.report(before)
-    bundle = changes_module.set_draining(before, upstream, drained)
+    old_bundle = await context.changes.read_bundle(head)
+    if isinstance(old_bundle, errors.Failure):
+        return console.report(old_bundle)
+    bundle = changes_module.set_draining(old_bundle, upstream, drained)
     failure = _check(bundle, False)
     if failure is not None:
         return console.report(failure)
     verb = 'drain' if drained else 'undrain'
-    return await _accept(context, bundle, head, f'{verb} {upstream}', wait)
+    return await _apply(context, bundle, head, f'{verb} {upstream}', wait)
 
 
 @app.command
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -42,7 +42,7 @@
 from galenahatch.platform import store as stores
 from galenahatch import scrapes
 
-_ROUTES: typing.Final = (
+_ROUTE_COLUMNS: typing.Final = (
     'route',
     'host',
     'prefix',
@@ -51,7 +51,7 @@
     'timeout',
     'attempts',
 )
-_UPSTREAMS: typing.Final = (
+_UPSTREAM_COLUMNS: typing.Final = (
     'upstream',
     'service',
     'address',
@@ -61,7 +61,7 @@
     'started',
     'standing',
 )
-_GATEWAYS: typing.Final = (
+_GATEWAY_COLUMNS: typing.Final = (
     'gateway',
     'data_centre',
     'order',
@@ -70,7 +70,7 @@
     'configuration',
     'store_era',
 )
-_LIMITS: typing.Final = (
+_LIMIT_COLUMNS: typing.Final = (
     'upstream',
     'rate',
     'limited_for',
@@ -79,7 +79,7 @@
     'paused_for',
     'gateways',
 )
-_CUSTOMERS: typing.Final = (
+_CUSTOMER_COLUMNS: typing.Final = (
     'customer',
     'keys',
     'priority',
@@ -89,7 +89,7 @@
     'used',
     'refused',
 )
-_REQUESTS: typing.Final = ('digest', 'ends', 'standing')
+_REQUEST_COLUMNS: typing.Final = ('digest', 'ends', 'standing')
 
 app = cyclopts.App(
     name='gateway', help='Gateways on the platform: settings and state.'
@@ -130,9 +130,9 @@
     """Show the routes of the newest configuration."""
 
     async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
-        decoded = await _configuration(tables)
-        if isinstance(decoded, errors.Failure):
-            return console.report(decoded)
+        configuration = await _configuration(tables)
+        if isinstance(configuration, errors.Failure):
+            return console.report(configuration)
         rows = [
             (
                 route.name,
@@ -143,11 +143,11 @@
                 route.timeout,
                 route.max_attempts,
             )
-            for route in decoded.routes
+            for route in configuration.routes
         ]
         if not json:
-            print(f'version {decoded.version}')
-        console.print_table(_ROUTES, rows, json)
+            print(f'version {configuration.version}')
+        console.print_table(_ROUTE_COLUMNS, rows, json)
         return console.SUCCESS
 
     return _run_command(store, work)
@@ -166,7 +166,7 @@
             None if isinstance(config, errors.Failure) else config.services
         )
         rows = [_upstream_row(row, services) for row in snapshot.rows]
-        console.print_table(_UPSTREAMS, rows, json)
+        console.print_table(_UPSTREAM_COLUMNS, rows, json)
         return console.SUCCESS
 
     return _run_command(store, work)
@@ -195,7 +195,7 @@
             is_up, leads = stats is not None, row.key == holder
             era = '' if stats is None else scrapes.store_era(stats)
             rows.append((row.key, centre, row.ver, is_up, leads, version, era))
-        console.print_table(_GATEWAYS, rows, json)
+        console.print_table(_GATEWAY_COLUMNS, rows, json)
         return console.SUCCESS
 
     return _run_command(store, work)
@@ -220,7 +220,7 @@
         samples = await _scrape_all(client, member_rows)
         by_name = config.customers.by_name if config.customers else {}
         rows = [_customer_row(c, samples) for c in by_name.values()]
-        console.print_table(_CUSTOMERS, rows, json)
+        console.print_table(_CUSTOMER_COLUMNS, rows, json)
         return console.SUCCESS
 
     return _run_command(store, work)
@@ -255,7 +255,7 @@
         if isinstance(member_rows, errors.Failure):
             return console.report(member_rows)
         scraped = await _scrape_all(client, member_rows)
-        console.print_table(_LIMITS, _limit_rows(scraped), json)
+        console.print_table(_LIMIT_COLUMNS, _limit_rows(scraped), json)
         return console.SUCCESS
 
     return _run_command(store, work)
@@ -309,7 +309,7 @@
             if entry is not None:
                 digest = row.key.removeprefix(quarantines.ROW_PREFIX)
                 rows.append((digest, len(entry.ends), _hold_state(entry)))
-        console.print_table(_REQUESTS, rows, json)
+        console.print_table(_REQUEST_COLUMNS, rows, json)
         return console.SUCCESS
 
     return _run_command(store, work)
--- a/galenahatch/logs.py
+++ b/galenahatch/logs.py
@@ -122,18 +122,18 @@
     def emit(self, record: logbook.LogRecord) -> None:
         """Write a record, or count it as dropped."""
         self._reset_each_second()
-        kind = f'{record.channel}: {record.message}'
-        self._line_counts[kind] += 1
-        if self._line_counts[kind] > MAX_LINES_PER_SECOND:
-            self.dropped[kind] += 1
+        line_kind = f'{record.channel}: {record.message}'
+        self._line_counts[line_kind] += 1
+        if self._line_counts[line_kind] > MAX_LINES_PER_SECOND:
+            self.dropped[line_kind] += 1
         elif not self._write(self.format(record)):
-            self.dropped[kind] += 1
+            self.dropped[line_kind] += 1
 
     def _reset_each_second(self) -> None:
-        second = int(time.monotonic())
-        if second == self._second:
+        current_second = int(time.monotonic())
+        if current_second == self._second:
             return
-        self._second = second
+        self._second = current_second
         self._line_counts.clear()
         if not self.dropped:
             return
--- a/galenahatch/queries.py
+++ b/galenahatch/queries.py
@@ -35,7 +35,10 @@
     context = zmq.asyncio.Context()
     try:
         replies = await asyncio.gather(
-            *(_query_scheduler(context, a, port, query) for a in addresses)
+            *(
+                _query_scheduler(context, address, port, query)
+                for address in addresses
+            )
         )
     finally:
         context.destroy(linger=0)
--- a/galenahatch/scrapes.py
+++ b/galenahatch/scrapes.py
@@ -23,10 +23,12 @@
 
 _SCRAPE_TIMEOUT_S: typing.Final = 1.0
 """Timeout for the scrape of one gateway, which takes a few ms."""
-_SAMPLE: typing.Final = re.compile(
+_SAMPLE_PATTERN: typing.Final = re.compile(
     r'(?P<name>\w+)(?:\{(?P<labels>[^}]*)\})? (?P<value>\S+)'
 )
-_SUBJECT: typing.Final = re.compile(r'(?:customer|upstream)="([^"]*)"')
+_SUBJECT_LABEL_PATTERN: typing.Final = re.compile(
+    r'(?:customer|upstream)="([^"]*)"'
+)
 
 Samples = dict[tuple[str, str], float]
 """Values by metric name and customer or upstream, which is empty for metrics
@@ -37,10 +39,10 @@
     """Parse a scrape and sum the samples over all other labels."""
     samples: Samples = {}
     for line in text.splitlines():
-        match = _SAMPLE.fullmatch(line)
+        match = _SAMPLE_PATTERN.fullmatch(line)
         if match is None:
             continue
-        subject = _SUBJECT.search(match['labels'] or '')
+        subject = _SUBJECT_LABEL_PATTERN.search(match['labels'] or '')
         key = (match['name'], subject.group(1) if subject else '')
         samples[key] = samples.get(key, 0.0) + float(match['value'])
     return samples
--- a/galenahatch/tasks.py
+++ b/galenahatch/tasks.py
@@ -58,11 +58,11 @@
 
     async def stop(self) -> None:
         """Cancel every task and wait for it."""
-        running = list(self._tasks)
-        for task in running:
+        tasks = list(self._tasks)
+        for task in tasks:
             task.cancel()
-        if running:
-            await asyncio.wait(running)
+        if tasks:
+            await asyncio.wait(tasks)
 
     def _add(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
--- a/galenahatch/trace.py
+++ b/galenahatch/trace.py
@@ -47,7 +47,7 @@
 
     @property
     def text(self) -> str:
-        """The fields as `key=value`."""
+        """Fields in the form `key=value`, separated by spaces."""
         return ' '.join(
             f'{key}={value:.4g}'
             if isinstance(value, float)
@@ -65,24 +65,26 @@
     """
     lines = []
     for file in files:
-        for raw in file.read_bytes().splitlines():
-            line = _parse(raw)
+        for raw_line in file.read_bytes().splitlines():
+            line = _parse(raw_line)
             if line is not None:
                 lines.append(line)
     return sorted(lines, key=lambda line: line.at)
 
 
-def _parse(raw: bytes) -> Line | None:
-    start = raw.find(b'{')
+def _parse(raw_line: bytes) -> Line | None:
+    start = raw_line.find(b'{')
     if start < 0:
         return None
     try:
-        data = msgspec.json.decode(raw[start:])
+        data = msgspec.json.decode(raw_line[start:])
     except msgspec.DecodeError:
         return None
     if not isinstance(data, dict) or 'message' not in data:
         return None
-    fields = {key: v for key, v in data.items() if key not in _STANDARD_KEYS}
+    fields = {
+        key: value for key, value in data.items() if key not in _STANDARD_KEYS
+    }
     return Line(
         str(data.get('time', '')),
         str(data.get('part', '')),
