--- a/galenahatch/changes.py
+++ b/galenahatch/changes.py
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, table_client: table.Table, object_store: objects.Objects
+        self, table_client: table.Table, object_store: objects.ObjectStore
     ) -> None:
         self._table = table_client
         self._objects = object_store
--- a/galenahatch/controller.py
+++ b/galenahatch/controller.py
@@ -160,7 +160,7 @@
     async def _send_order(
         self, engine: schema.Engine, planned: orders.PlannedOrder
     ) -> None:
-        failure = await engine_client.order(
+        failure = await engine_client.send_order(
             self.engines,
             cancelling.url_of(engine),
             planned.order,
@@ -191,7 +191,7 @@
         self, engine: schema.Engine
     ) -> orders.Order | errors.Failure:
         async with self._slots:
-            return await engine_client.running(
+            return await engine_client.fetch_order(
                 self.engines, cancelling.url_of(engine)
             )
 
--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -338,14 +338,14 @@
         value = msgspec.json.encode(
             quarantines.Entry(entry.ends, released=True)
         )
-        expected = stores.Entry(roster.MEMBER_TABLE, key, ver=rows[0].ver)
-        released = stores.Entry(roster.MEMBER_TABLE, key, value=value)
+        expected = stores.RowOperation(roster.MEMBER_TABLE, key, ver=rows[0].ver)
+        released = stores.RowOperation(roster.MEMBER_TABLE, key, value=value)
         written = await tables.transact([expected], put=[released])
         if isinstance(written, errors.Failure):
             return console.report(written)
         # After a restore the same row version may belong to another row.
         is_restored = (
-            isinstance(written, stores.Written) and written.era != snapshot.era
+            isinstance(written, stores.Committed) and written.era != snapshot.era
         )
         if isinstance(written, stores.Conflict) or is_restored:
             detail = f'{digest} was changed by another writer'
@@ -376,7 +376,7 @@
     values = [r.value for r in found.rows if r.key == documents.CONFIG_KEY]
     if not values:
         return errors.Failure(errors.NO_CONFIGURATION)
-    return documents.configuration(values[0])
+    return documents.decode_configuration(values[0])
 
 
 def _upstream_row(
@@ -388,7 +388,7 @@
         row: Row of the upstream in the store.
         services: Services of the newest configuration; None without one.
     """
-    upstream = documents.upstream(row.key, row.value)
+    upstream = documents.decode_upstream(row.key, row.value)
     if isinstance(upstream, errors.Failure):
         return (row.key, '', '', '', '', '', '', upstream.detail)
     standing = 'leaving' if upstream.leaving else 'ready'
@@ -417,7 +417,7 @@
 def _run_command(address: str, work: Work) -> int:
     """Run a command with a store client and return its exit code."""
     if not address:
-        path = deployment.path() or os.devnull
+        path = deployment.settings_path() or os.devnull
         settings = deployment.load(path)
         if isinstance(settings, errors.Failure):
             return console.report(settings)
--- a/galenahatch/probes.py
+++ b/galenahatch/probes.py
@@ -61,7 +61,7 @@
 
     async def _read_one(self, engine: schema.Engine) -> None:
         async with self._slots:
-            load = await engine_client.load(
+            load = await engine_client.fetch_load(
                 self._client,
                 cancelling.url_of(engine),
                 self._last_event_numbers.get(engine.name, -1),
