--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -328,24 +328,24 @@
 
     async def work(client: aiohttp.ClientSession, tables: stores.Store) -> int:
         key = quarantines.ROW_PREFIX + digest
-        snapshot = await tables.rows(roster.MEMBER_TABLE)
-        if isinstance(snapshot, errors.Failure):
-            return console.report(snapshot)
-        rows = [row for row in snapshot.rows if row.key == key]
+        before = await tables.rows(roster.MEMBER_TABLE)
+        if isinstance(before, errors.Failure):
+            return console.report(before)
+        rows = [row for row in before.rows if row.key == key]
         entry = quarantines.decode(rows[0]) if rows else None
         if entry is None:
             return console.report(errors.Failure(errors.NOT_FOUND, digest))
         value = msgspec.json.encode(
             quarantines.Entry(entry.ends, released=True)
         )
-        expected = stores.RowOperation(roster.MEMBER_TABLE, key, ver=rows[0].ver)
-        released = stores.RowOperation(roster.MEMBER_TABLE, key, value=value)
-        written = await tables.transact([expected], put=[released])
+        old = stores.RowOperation(roster.MEMBER_TABLE, key, ver=rows[0].ver)
+        new = stores.RowOperation(roster.MEMBER_TABLE, key, value=value)
+        written = await tables.transact([old], put=[new])
         if isinstance(written, errors.Failure):
             return console.report(written)
         # After a restore the same row version may belong to another row.
         is_restored = (
-            isinstance(written, stores.Committed) and written.era != snapshot.era
+            isinstance(written, stores.Committed) and written.era != before.era
         )
         if isinstance(written, stores.Conflict) or is_restored:
             detail = f'{digest} was changed by another writer'
--- a/galenahatch/logs.py
+++ b/galenahatch/logs.py
@@ -51,7 +51,7 @@
         self._logger.info(sentence, extra=fields)
 
     def warning(self, sentence: str, **fields: Value) -> None:
-        """Log a problem that the program handles by itself."""
+        """Log a handled problem that may be of interest to an operator."""
         self._logger.warning(sentence, extra=fields)
 
     def error(self, sentence: str, **fields: Value) -> None:
