--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -10,7 +10,7 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""What the operators' commands share: clients, printing, exit codes."""
+"""Clients, output and exit codes shared by the operators' commands."""
 
 import asyncio
 import collections.abc
@@ -48,7 +48,7 @@
 
 
 class Context:
-    """Clients of the platform for one command."""
+    """Settings and platform clients of one command."""
 
     def __init__(
         self, options: options_module.Options, client: aiohttp.ClientSession
@@ -61,7 +61,7 @@
         self.vms = vms.VmListClient(client, options.vms_url)
 
     async def scheduler_addresses(self) -> list[str]:
-        """Return the IP numbers of VMs that may run a scheduler."""
+        """Return the IP addresses of VMs that may run a scheduler."""
         listed = await self.vms.read()
         addresses = set(self.options.peers)
         if not isinstance(listed, errors.Failure):
@@ -77,10 +77,10 @@
 
 
 def run(settings: options_module.Options | None, command: Command) -> int:
-    """Run a command with clients of the platform."""
+    """Run a command with platform clients and return its exit code."""
     options = settings or options_module.Options()
     for failure in options_module.find_problems(options):
-        return report_failure(failure)
+        return report(failure)
 
     async def run_with_client() -> int:
         async with http.session(options.platform_token) as client:
@@ -89,7 +89,7 @@
     return asyncio.run(run_with_client())
 
 
-def report_failure(failure: errors.Failure) -> int:
+def report(failure: errors.Failure) -> int:
     """Print a failure and return its exit code."""
     print(
         f'galenahatchctl: {failure.reason.name}: {failure.reason.message} '
@@ -109,9 +109,11 @@
         items = [dict(zip(headings, row, strict=True)) for row in rows]
         print(msgspec.json.encode(items).decode())
         return
-    texts = [[str(cell) for cell in row] for row in rows]
-    lines = [list(headings), *texts]
+    cell_rows = [[str(cell) for cell in row] for row in rows]
+    lines = [list(headings), *cell_rows]
     widths = [max(len(row[i]) for row in lines) for i in range(len(headings))]
     for row in lines:
-        cells = (cell.ljust(w) for cell, w in zip(row, widths, strict=True))
+        cells = (
+            cell.ljust(width) for cell, width in zip(row, widths, strict=True)
+        )
         print('  '.join(cells).rstrip())
