--- a/galenahatch/config.py
+++ b/galenahatch/config.py
@@ -10,19 +10,19 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Configuration: its schema, how overlays merge, and what must hold.
+"""Merging and validation of configurations.
 
 A configuration is one base text and one overlay text for each site, both
 TOML. The rule for merging an overlay into the base:
 
 * tables merge key by key;
 * a list of tables that have a `name` merges by name; an item with
-  `remove = true` takes the named item away;
+  `remove = true` removes the named item;
 * every other value of the overlay replaces the base's.
 
 The merged tree of each site is converted field by field, so that every
 problem is found in one pass; then the references between items are
-checked. Nothing here reads a file or the clock.
+checked. This module reads neither files nor the clock.
 """
 
 import tomllib
@@ -38,14 +38,14 @@
 
 
 class CheckResult(msgspec.Struct, frozen=True):
-    """What a check gives: a configuration by site, or problems."""
+    """Result of a check: the configuration of each site, and problems."""
 
     sites: dict[str, schema.Config]
     problems: tuple[checks.Problem, ...]
 
 
 def check(bundle: schema.Bundle) -> CheckResult:
-    """Merge and check a bundle for every site."""
+    """Merge and check the configuration of every site in a bundle."""
     problems: list[checks.Problem] = []
     base = _parse(checks.BASE, bundle.base, problems)
     overlays = {
@@ -77,9 +77,9 @@
 def load(bundle: schema.Bundle) -> dict[str, schema.Config] | None:
     """Return the configuration of each site without checking it.
 
-    Daemons use this for what was checked before it was accepted. Unknown
-    keys are ignored, so that a daemon understands what a newer command
-    line wrote. None means that a text can't be used at all.
+    Daemons use this for bundles that were checked before they were accepted.
+    Unknown keys are ignored, so that a daemon can read what a newer command
+    line wrote. Returns None if a text is invalid.
     """
     problems: list[checks.Problem] = []
     base = _parse(checks.BASE, bundle.base, problems)
@@ -94,25 +94,25 @@
     return None if problems else configs
 
 
-def _convert_strictly(merged: Tree) -> schema.Config | None:
-    """Convert at once; None if anything is wrong, which is rare."""
-    if any(_unknown_keys(merged)):
+def _convert_strictly(tree: Tree) -> schema.Config | None:
+    """Convert a whole tree; return None if it has any problem."""
+    if any(_unknown_keys(tree)):
         return None
     try:
-        return msgspec.convert(merged, schema.Config)
+        return msgspec.convert(tree, schema.Config)
     except msgspec.ValidationError:
         return None
 
 
-def _unknown_keys(merged: Tree) -> typing.Iterator[str]:
+def _unknown_keys(tree: Tree) -> typing.Iterator[str]:
     hints = typing.get_type_hints(schema.Config)
-    for key, value in merged.items():
+    for key, value in tree.items():
         if key not in hints:
             yield key
             continue
-        kind = _struct_item_type(hints[key])
-        if kind is not None and isinstance(value, list):
-            known_fields = set(kind.__struct_fields__)
+        item_type = _struct_item_type(hints[key])
+        if item_type is not None and isinstance(value, list):
+            known_fields = set(item_type.__struct_fields__)
             for item in value:
                 if not isinstance(item, dict) or item.keys() - known_fields:
                     yield key
@@ -160,26 +160,26 @@
 def _check_unique_names(
     file: str, tree: Tree, problems: list[checks.Problem]
 ) -> None:
-    """Report names that stand twice in one file."""
+    """Report names that occur twice in one list of a file."""
     for key, value in tree.items():
         if not isinstance(value, list):
             continue
-        seen: set[str] = set()
+        seen_names: set[str] = set()
         for item in value:
             name = item.get('name') if isinstance(item, dict) else None
-            if isinstance(name, str) and name in seen:
+            if isinstance(name, str) and name in seen_names:
                 expected = f'one item named {name!r}'
                 problems.append(
                     checks.Problem(file, f'{key}.{name}', expected)
                 )
-            seen.add(str(name))
+            seen_names.add(str(name))
 
 
 Origin = typing.Callable[[str], str]
 
 
 def _origin(site: str, overlay: Tree) -> Origin:
-    """Return a function from a key's path to the file that sets it."""
+    """Return a function that maps a key's path to the file that sets it."""
     overlay_paths = set(_key_paths(overlay, ''))
 
     def origin(path: str) -> str:
@@ -199,17 +199,17 @@
             yield from _key_paths(item, f'{path}.{_item_name(item, number)}')
 
 
-def _item_name(item: typing.Any, number: int) -> str:
+def _item_name(item: typing.Any, index: int) -> str:
     if isinstance(item, dict) and isinstance(item.get('name'), str):
         return str(item['name'])
-    return str(number)
+    return str(index)
 
 
 _T = typing.TypeVar('_T', bound=msgspec.Struct)
 
 
 def _convert(
-    kind: type[_T],
+    struct_type: type[_T],
     tree: Tree,
     path: str,
     origin: Origin,
@@ -217,11 +217,13 @@
 ) -> _T:
     """Convert a table field by field and collect every problem.
 
-    A wrong field takes its default, or an empty value of its type, so that
-    the checks that follow can go on.
+    A missing or invalid field gets its default or an empty value of its type,
+    so that the following checks can continue.
     """
-    hints = typing.get_type_hints(kind)
-    fields = {field.name: field for field in msgspec.structs.fields(kind)}
+    hints = typing.get_type_hints(struct_type)
+    fields = {
+        field.name: field for field in msgspec.structs.fields(struct_type)
+    }
     values: Tree = {}
     for key, value in tree.items():
         field_path = f'{path}.{key}' if path else key
@@ -241,7 +243,7 @@
             expected = f'a value: {_type_name(hints[name])}'
             problems.append(checks.Problem(origin(path), field_path, expected))
             values[name] = _empty_value(hints[name])
-    return kind(**values)
+    return struct_type(**values)
 
 
 def _convert_field(
@@ -251,17 +253,17 @@
     origin: Origin,
     problems: list[checks.Problem],
 ) -> typing.Any:
-    item_kind = _struct_item_type(hint)
-    if item_kind is not None and isinstance(value, list):
+    item_type = _struct_item_type(hint)
+    if item_type is not None and isinstance(value, list):
         return tuple(
             _convert(
-                item_kind,
+                item_type,
                 item if isinstance(item, dict) else {},
-                f'{path}.{_item_name(item, number)}',
+                f'{path}.{_item_name(item, index)}',
                 origin,
                 problems,
             )
-            for number, item in enumerate(value)
+            for index, item in enumerate(value)
         )
     try:
         return msgspec.convert(value, _without_newtypes(hint))
@@ -272,7 +274,7 @@
 
 
 def _struct_item_type(hint: typing.Any) -> type[msgspec.Struct] | None:
-    """Return the struct type of a tuple of structs."""
+    """Return the item type of a tuple of structs, or None for other types."""
     if typing.get_origin(hint) is not tuple:
         return None
     item = typing.get_args(hint)[0]
@@ -282,7 +284,7 @@
 
 
 def _without_newtypes(hint: typing.Any) -> typing.Any:
-    """Return a hint with NewType replaced by what it stands for."""
+    """Return a type hint with each NewType replaced by its supertype."""
     if isinstance(hint, typing.NewType):
         return hint.__supertype__
     if typing.get_origin(hint) is tuple:
@@ -296,9 +298,9 @@
     plain_type = _without_newtypes(hint)
     if typing.get_origin(plain_type) is tuple:
         return f'a list of {_type_name(typing.get_args(plain_type)[0])}'
-    names = {str: 'text', int: 'a whole number', float: 'a number'}
-    names[bool] = 'true or false'
-    return names.get(
+    names_by_type = {str: 'text', int: 'a whole number', float: 'a number'}
+    names_by_type[bool] = 'true or false'
+    return names_by_type.get(
         plain_type, getattr(plain_type, '__name__', str(plain_type))
     )
 
