--- a/galenahatch/platform/eras.py
+++ b/galenahatch/platform/eras.py
@@ -64,13 +64,13 @@
         """
         observed = parse_era(values)
         if observed is None:
-            self._note_invalid(tuple(values))
+            self._handle_invalid(tuple(values))
             return self.newest
         if self._newest is None or observed > self._newest:
-            self._change(self._newest, observed)
+            self._set_newest(self._newest, observed)
         return observed
 
-    def _change(self, before: int | None, after: int) -> None:
+    def _set_newest(self, before: int | None, after: int) -> None:
         self._newest = after
         if before is None:
             _log.info('Store era observed.', era=after)
@@ -78,8 +78,8 @@
             _log.warning('Store restored.', before=before, era=after)
         self.on_change(before, after)
 
-    def _note_invalid(self, values: tuple[str, ...]) -> None:
-        """Log an invalid era header, once while it repeats.
+    def _handle_invalid(self, values: tuple[str, ...]) -> None:
+        """Handle an invalid era header; log it once while it repeats.
 
         A store that has not named an era is in era 0: if it names one later,
         it may have been restored in between.
--- a/galenahatch/platform/wire.py
+++ b/galenahatch/platform/wire.py
@@ -194,12 +194,12 @@
 
 
 def local_response_headers(
-    request: str, status: int
+    request_id: str, status: int
 ) -> 'multidict.CIMultiDict[str]':
     """Return the headers of a response that the gateway generates."""
     headers: multidict.CIMultiDict[str] = multidict.CIMultiDict()
-    if request:
-        headers[_REQUEST_ID] = request
+    if request_id:
+        headers[_REQUEST_ID] = request_id
     if status == 401:
         headers['WWW-Authenticate'] = 'Bearer'
     return headers
