--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -30,6 +30,8 @@
 ENTRIES: typing.Final = 6
 MAX_ATTEMPTS: typing.Final = 4
 ABANDON_SLACK_S: typing.Final = 4.0
+"""Seconds past the first-token target, and the time to decode, after which a
+caller disconnects."""
 _FULL_RETRY_DELAY_S: typing.Final = 0.03
 _ATTEMPT_BACKOFF_S: typing.Final = 0.05
 _ORPHAN_CLEANUP_DELAY_S: typing.Final = 2.5
@@ -42,7 +44,7 @@
     Attributes:
         kind: name of its class.
         at: seconds from the start of the run to its arrival.
-        first_token_target_s: target for the time to the first token.
+        first_token_target_s: target for the first token, in seconds.
         first_token_s: seconds to the first token; None if there was none.
         token_interval_s: mean seconds between tokens.
         is_complete: whether all tokens arrived.
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -85,8 +85,10 @@
         self.owner_requests = 0
 
     def _generate_requests(self) -> None:
-        wanted = self._load.rate * self._load.hot_factor * fleets.STEP_S
-        for _ in range(self._poisson(wanted)):
+        expected_requests = (
+            self._load.rate * self._load.hot_factor * fleets.STEP_S
+        )
+        for _ in range(self._poisson(expected_requests)):
             self._request(1.0)
 
     def _request(self, units: float) -> None:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -138,7 +138,7 @@
 
 
 class LeastLoad(_NoFeedback):
-    """Selects the engines with the least load in the delayed reports."""
+    """Each entry selects the least loaded engines in its delayed reports."""
 
     def __init__(self, fleet: fleet_module.Fleet, seed: int) -> None:
         self._fleet = fleet
--- a/bench/quotas.py
+++ b/bench/quotas.py
@@ -200,7 +200,7 @@
     @property
     def refused(self) -> int:
         """Number of refused requests."""
-        return sum(not ran for _, _, ran in self._requests)
+        return sum(not is_granted for _, _, is_granted in self._requests)
 
     def set_quota(self, quota: customers.Quota) -> None:
         """Change the quota at all gateways."""
@@ -363,8 +363,8 @@
         """
         granted = [
             (at, units)
-            for at, units, ran in self._requests
-            if ran and at >= since
+            for at, units, is_granted in self._requests
+            if is_granted and at >= since
         ]
         limit = self.quota.rate * self._bound.window + self.quota.burst
         bound = limit + self._bound.allowance(self.quota)
@@ -378,13 +378,13 @@
     def _refused_within(self) -> float:
         level, filled_at = self.quota.burst, 0.0
         allowed = refused = 0.0
-        for at, units, ran in self._requests:
+        for at, units, is_granted in self._requests:
             refilled = self.quota.rate * (at - filled_at)
             level, filled_at = min(self.quota.burst, level + refilled), at
             if units <= level:
                 level -= units
                 allowed += units
-                refused += 0.0 if ran else units
+                refused += 0.0 if is_granted else units
         return refused / allowed if allowed else 0.0
 
 
--- a/bench/workloads.py
+++ b/bench/workloads.py
@@ -47,7 +47,7 @@
         prompt: mean prompt tokens; lengths are 0.5 to 1.5 times the mean.
         output: max_tokens of a request.
         urgency: urgency of the class.
-        first_token_target_s: target for the time to the first token.
+        first_token_target_s: target for the first token, in seconds.
         callers: number of callers that send the class.
     """
 
