--- a/galenahatch/application.py
+++ b/galenahatch/application.py
@@ -42,9 +42,8 @@
 from galenahatch import telemetry
 from galenahatch.upstream import http as upstream
 
-_NO_SHUTDOWN_TIMEOUT_S: typing.Final = datetime.timedelta(
-    days=7
-).total_seconds()
+_SHUTDOWN_TIMEOUT_S: typing.Final = datetime.timedelta(days=7).total_seconds()
+"""Long enough that it never interrupts a graceful shutdown."""
 
 
 class Daemon(aiomisc.Service):
@@ -114,7 +113,7 @@
             self._runner,
             self.options.address,
             port,
-            shutdown_timeout=_NO_SHUTDOWN_TIMEOUT_S,
+            shutdown_timeout=_SHUTDOWN_TIMEOUT_S,
             reuse_address=True,
         )
         await site.start()
@@ -163,7 +162,7 @@
             daemon,
             log_config=False,
             loop_factory=uvloop.new_event_loop,
-            shutdown_timeout=_NO_SHUTDOWN_TIMEOUT_S,
+            shutdown_timeout=_SHUTDOWN_TIMEOUT_S,
         ) as loop:
             log.info('Started.', address=options.address)
             loop.run_forever()
--- a/galenahatch/config.py
+++ b/galenahatch/config.py
@@ -95,7 +95,7 @@
 
 
 def _convert_strictly(tree: Tree) -> schema.Config | None:
-    """Convert a whole tree; return None if it has any problem."""
+    """Convert a tree at once; return None if it is invalid, which is rare."""
     if any(_unknown_keys(tree)):
         return None
     try:
@@ -195,8 +195,8 @@
         for key, item in value.items():
             yield from _key_paths(item, f'{path}.{key}' if path else key)
     elif isinstance(value, list):
-        for number, item in enumerate(value):
-            yield from _key_paths(item, f'{path}.{_item_name(item, number)}')
+        for index, item in enumerate(value):
+            yield from _key_paths(item, f'{path}.{_item_name(item, index)}')
 
 
 def _item_name(item: typing.Any, index: int) -> str:
--- a/galenahatch/errors.py
+++ b/galenahatch/errors.py
@@ -23,7 +23,7 @@
 
 
 class Outcome(enum.Enum):
-    """Outcome of a request that is reported to the caller, if certain."""
+    """Outcome that is reported to the caller; UNKNOWN unless it is certain."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not_run'
--- a/galenahatch/trace.py
+++ b/galenahatch/trace.py
@@ -97,26 +97,26 @@
     lines: collections.abc.Sequence[Line], request: str
 ) -> list[Line]:
     """Return the lines of a request and recent events of its upstreams."""
-    request_own = [line for line in lines if _is_of_request(line, request)]
-    if not request_own:
+    own_lines = [line for line in lines if _is_of_request(line, request)]
+    if not own_lines:
         return []
     involved = {
         line.fields[key]
-        for line in request_own
+        for line in own_lines
         for key in ('upstream', 'engine', 'prefill', 'decode')
         if line.fields.get(key)
     }
-    first, last = request_own[0].at, request_own[-1].at
+    first, last = own_lines[0].at, own_lines[-1].at
     upstream_events = [
         line
         for line in lines
-        if line not in request_own
+        if line not in own_lines
         and 'request' not in line.fields
         and 'stream' not in line.fields
         and _event_window_start(first) <= line.at <= last
         and {line.fields.get('upstream'), line.fields.get('engine')} & involved
     ]
-    return sorted([*request_own, *upstream_events], key=lambda line: line.at)
+    return sorted([*own_lines, *upstream_events], key=lambda line: line.at)
 
 
 def _is_of_request(line: Line, request: str) -> bool:
@@ -125,14 +125,14 @@
     return str(line.fields.get('stream', '')).startswith(f'{request}.')
 
 
-def _event_window_start(time: str) -> str:
+def _event_window_start(timestamp: str) -> str:
     """Return the start of the event window before a time.
 
     A time that is not in ISO format is returned unchanged.
     """
 
     try:
-        parsed = datetime.datetime.fromisoformat(time)
+        parsed = datetime.datetime.fromisoformat(timestamp)
     except ValueError:
-        return time
+        return timestamp
     return (parsed - datetime.timedelta(seconds=_EVENT_WINDOW_S)).isoformat()
