--- a/galenahatch/orphans.py
+++ b/galenahatch/orphans.py
@@ -31,6 +31,8 @@
 
 CHECK_INTERVAL_S: typing.Final = 0.25
 _UNCONFIRMED_FACTOR: typing.Final = 2
+"""Multiplies the silence timeout while no other scheduler confirms that an
+entry is gone; applied twice when others were queried."""
 _log = logs.Log('orphans')
 
 
