--- a/galenahatch/trace.py
+++ b/galenahatch/trace.py
@@ -10,11 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""From a request's id to its cause, in the logs of gateways.
+"""Finds the log lines of a request in the logs of gateways.
 
-A line belongs to a request if it names it, or one of its streams. Lines
-that tell what had become of an upstream of the request shortly before are
-shown with them, since they often are the cause.
+A line belongs to a request if it has the id of the request or of one of its
+streams. Recent events of the request's upstreams are included, since they are
+often the cause of a failure.
 """
 
 import collections.abc
@@ -25,8 +25,8 @@
 import msgspec
 
 _EVENT_WINDOW_S: typing.Final = 10.0
-"""Seconds before a request's first line in which news of its upstreams are
-shown; longer than any bound on such news."""
+"""Seconds before the first line of a request from which events of its
+upstreams are included; longer than any limit on the delay of such events."""
 _STANDARD_KEYS: typing.Final = ('time', 'level', 'part', 'message')
 
 
@@ -34,10 +34,10 @@
     """One line of a log.
 
     Attributes:
-        at: time as written.
-        part: that wrote it.
-        message: its sentence.
-        fields: everything else.
+        at: Time as written in the log.
+        part: Part of the program that logged the line.
+        message: Log sentence.
+        fields: All other keys of the line.
     """
 
     at: str
@@ -47,7 +47,7 @@
 
     @property
     def text(self) -> str:
-        """The fields as `key=value`."""
+        """Fields in the form `key=value`, separated by spaces."""
         return ' '.join(
             f'{key}={value:.4g}'
             if isinstance(value, float)
@@ -58,31 +58,33 @@
 
 
 def read_logs(files: collections.abc.Iterable[pathlib.Path]) -> list[Line]:
-    """Return the lines of some logs in the order of their times.
+    """Read log files and return their lines, sorted by time.
 
-    What stands before the first brace of a line, as collectors write it, is
-    left out; so is a line that is no JSON object.
+    Text before the first brace of a line, such as the prefix of a log
+    collector, is ignored; so are lines without a JSON object.
     """
     lines = []
     for file in files:
-        for raw in file.read_bytes().splitlines():
-            line = _parse(raw)
+        for raw_line in file.read_bytes().splitlines():
+            line = _parse(raw_line)
             if line is not None:
                 lines.append(line)
     return sorted(lines, key=lambda line: line.at)
 
 
-def _parse(raw: bytes) -> Line | None:
-    start = raw.find(b'{')
+def _parse(raw_line: bytes) -> Line | None:
+    start = raw_line.find(b'{')
     if start < 0:
         return None
     try:
-        data = msgspec.json.decode(raw[start:])
+        data = msgspec.json.decode(raw_line[start:])
     except msgspec.DecodeError:
         return None
     if not isinstance(data, dict) or 'message' not in data:
         return None
-    fields = {key: v for key, v in data.items() if key not in _STANDARD_KEYS}
+    fields = {
+        key: value for key, value in data.items() if key not in _STANDARD_KEYS
+    }
     return Line(
         str(data.get('time', '')),
         str(data.get('part', '')),
@@ -94,27 +96,27 @@
 def request_lines(
     lines: collections.abc.Sequence[Line], request: str
 ) -> list[Line]:
-    """Return the lines of a request, and the news of its upstreams."""
-    request_own = [line for line in lines if _is_of_request(line, request)]
-    if not request_own:
+    """Return the lines of a request and recent events of its upstreams."""
+    own_lines = [line for line in lines if _is_of_request(line, request)]
+    if not own_lines:
         return []
     involved = {
         line.fields[key]
-        for line in request_own
+        for line in own_lines
         for key in ('upstream', 'engine', 'prefill', 'decode')
         if line.fields.get(key)
     }
-    first, last = request_own[0].at, request_own[-1].at
+    first, last = own_lines[0].at, own_lines[-1].at
     upstream_events = [
         line
         for line in lines
-        if line not in request_own
+        if line not in own_lines
         and 'request' not in line.fields
         and 'stream' not in line.fields
         and _event_window_start(first) <= line.at <= last
         and {line.fields.get('upstream'), line.fields.get('engine')} & involved
     ]
-    return sorted([*request_own, *upstream_events], key=lambda line: line.at)
+    return sorted([*own_lines, *upstream_events], key=lambda line: line.at)
 
 
 def _is_of_request(line: Line, request: str) -> bool:
@@ -123,11 +125,14 @@
     return str(line.fields.get('stream', '')).startswith(f'{request}.')
 
 
-def _event_window_start(time: str) -> str:
-    """Return a time that is some seconds before another."""
+def _event_window_start(timestamp: str) -> str:
+    """Return the start of the event window before a time.
+
+    A time that is not in ISO format is returned unchanged.
+    """
 
     try:
-        parsed = datetime.datetime.fromisoformat(time)
+        parsed = datetime.datetime.fromisoformat(timestamp)
     except ValueError:
-        return time
+        return timestamp
     return (parsed - datetime.timedelta(seconds=_EVENT_WINDOW_S)).isoformat()
