--- a/galenahatch/gatewayctl.py
+++ b/galenahatch/gatewayctl.py
@@ -423,8 +423,8 @@
             return console.report(settings)
         address = str(settings.store)
 
-    async def within() -> int:
+    async def run_with_client() -> int:
         async with aiohttp.ClientSession() as client:
             return await work(client, stores.Store(client, address))
 
-    return asyncio.run(within())
+    return asyncio.run(run_with_client())
