--- a/galenahatch/test/test_fuzz_claims.py
+++ b/galenahatch/test/test_fuzz_claims.py
@@ -34,6 +34,95 @@
 _KEYS = ('k1', 'k2')
 
 
+class _Race:
+    """Writers of claims of one key, step by step and without Hypothesis."""
+
+    def __init__(self) -> None:
+        self.table: dict[str, bytes] = {}
+        self.holdings = claim.ClaimTokens()
+        self.dispatched: list[str] = []
+
+    def request(self, token: str) -> messages.ClaimRequest:
+        """Return a claim of the key, which its entry now waits for."""
+        request = messages.ClaimRequest(
+            ids.ClaimKey(_KEYS[0]),
+            ids.ClaimToken(token),
+            'same body',
+            ids.MemberId(_ENTRIES[0]),
+            1,
+        )
+        self.holdings.add_pending(request.token)
+        return request
+
+    def commit(
+        self,
+        operation: claimoperations.Operation,
+        change: transaction.Transaction,
+    ) -> bool:
+        """Commit a transaction, give its reply to the entry.
+
+        Returns whether it took effect.
+        """
+        conflict = any(
+            self.table.get(condition.key) != condition.value
+            for condition in change.conditions
+        )
+        name = claimoperations.table_key(operation.key)
+        if conflict:
+            reply = claimoperations.conflict_reply(
+                operation, self.table.get(name)
+            )
+        else:
+            for write in change.writes:
+                if write.value is None:
+                    self.table.pop(write.key, None)
+                else:
+                    self.table[write.key] = write.value
+            reply = claimoperations.committed_reply(operation)
+        if isinstance(reply, messages.ClaimReply):
+            if reply.status is states.ClaimStatus.MINE:
+                if self.holdings.try_dispatch(reply.token):
+                    self.dispatched.append(reply.token)
+        return not conflict
+
+
+def test_second_claim_conflicts() -> None:
+    """Of two claims made while the key was absent, only one is dispatched."""
+    race = _Race()
+    requests = [race.request('t1'), race.request('t2')]
+    # Both transactions are built before either of them is committed.
+    changes = [claimoperations.build_transaction([r]) for r in requests]
+    committed = [
+        race.commit(request, change)
+        for request, change in zip(requests, changes, strict=True)
+    ]
+    assert race.dispatched == ['t1']
+    assert committed == [True, False]
+    name = claimoperations.table_key(requests[0].key)
+    assert race.table == {name: claimoperations.encode_new_claim(requests[0])}
+
+
+def test_stale_void_conflicts() -> None:
+    """A void of a claim that lost does not free the key for another run."""
+    race = _Race()
+    lost = race.request('t1')
+    assert race.holdings.abandon(lost.token)
+    void = messages.ClaimVoid(
+        lost.key, lost.token, claimoperations.encode_new_claim(lost)
+    )
+    operations: list[claimoperations.Operation] = [
+        race.request('t2'),
+        void,
+        race.request('t3'),
+    ]
+    committed = [
+        race.commit(operation, claimoperations.build_transaction([operation]))
+        for operation in operations
+    ]
+    assert race.dispatched == ['t2']
+    assert committed == [True, False, False]
+
+
 @dataclasses.dataclass
 class _Entry:
     incarnation: int = 1
