--- a/galenahatch/core/headroom.py
+++ b/galenahatch/core/headroom.py
@@ -13,12 +13,13 @@
 """Prefill time and decode places reserved for urgent requests.
 
 A prefill can't be preempted, so long prompts on every engine would make an
-urgent request miss its target even at the head of the queue. A less urgent
-prefill may start only if, within the time that an urgent request can wait,
-the engines retain as much free time as recent urgent requests needed and as
-many free places as recent urgent requests arrived. One less urgent request
-per second is admitted regardless, to prevent starvation. The factor is below
-one because at 1.0 urgent requests gain nothing and bulk requests lose.
+urgent request miss its time-to-first-token target even at the head of the
+queue. A less urgent request is therefore admitted only if, with it placed,
+the engines still have enough free prefill time and decode places for the
+urgent work expected within the average time that an urgent request can wait.
+A place is room for one request on a decode engine. Expected work is estimated
+from recent urgent requests. To prevent starvation, a less urgent request is
+admitted without these checks if none was placed in the last second.
 """
 
 import collections.abc
@@ -29,39 +30,47 @@
 from galenahatch.core import pools
 
 _AVERAGING_S: typing.Final = 10.0
-"""Time constant of the averages of urgent work, in seconds."""
+"""Time constant of the decaying load and request rate, in seconds."""
 _SMOOTHING: typing.Final = 0.1
+"""Weight of a new sample in the average slack."""
 _MAX_SLACK_S: typing.Final = 1.0
-"""Urgent requests that can wait longer get places as others end."""
+"""Upper limit on the recorded slack, in seconds. A request that can wait
+longer needs no reserved place, since it gets one as others end."""
 LESS_URGENT_INTERVAL_S: typing.Final = 1.0
-"""Seconds after which one less urgent request is admitted regardless."""
+"""Seconds since the last placement of a less urgent request after which the
+next one is admitted without checks."""
 HEADROOM_FACTOR: typing.Final = 0.7
+"""Fraction of the expected urgent prefill time that is kept free; below one
+because at 1.0 urgent requests gain nothing and bulk requests lose."""
 
 
 class Headroom:
-    """Moving averages of urgent work; times are monotonic seconds."""
+    """Tracks urgent work and decides whether to admit less urgent requests.
+
+    Times are monotonic seconds.
+    """
 
     def __init__(self) -> None:
         self._prefill_load = 0.0
         self._request_rate = 0.0
         self._updated_at = 0.0
-        self._slack = 0.0
-        self._less_urgent_at = 0.0
+        self._average_slack = 0.0
+        self._last_less_urgent_at = 0.0
 
     def record_less_urgent(self, now: float) -> None:
         """Record the placement of a less urgent request."""
-        self._less_urgent_at = now
+        self._last_less_urgent_at = now
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether a less urgent request must be admitted."""
-        return now - self._less_urgent_at > LESS_URGENT_INTERVAL_S
+        """Return whether a less urgent request is admitted without checks."""
+        return now - self._last_less_urgent_at > LESS_URGENT_INTERVAL_S
 
     def record_urgent(self, cost: float, slack: float, now: float) -> None:
         """Record an urgent request.
 
         Args:
-            cost: Prefill time in seconds.
-            slack: Seconds that its prefill can wait.
+            cost: Prefill time of the request in seconds.
+            slack: Seconds until its prefill must start.
             now: Monotonic seconds.
         """
         decay = self._decay(now)
@@ -70,8 +79,9 @@
         self._updated_at = now
         if slack > 0:
             slack = min(slack, _MAX_SLACK_S)
-            previous_slack = self._slack or slack
-            self._slack = previous_slack + _SMOOTHING * (
+            # The first sample sets the average.
+            previous_slack = self._average_slack or slack
+            self._average_slack = previous_slack + _SMOOTHING * (
                 slack - previous_slack
             )
 
@@ -85,6 +95,7 @@
         free_places = sum(
             decode.places - decode.reserved for decode in decodes
         )
+        # The request itself takes one place.
         if free_places - 1 < self.places_to_reserve(now):
             return False
         waits = [
@@ -93,6 +104,7 @@
             if engine is not pair.prefill
         ]
         if not waits:
+            # There is no other healthy prefill engine; only places count.
             return True
         waits.append(pair.prefilled_at - now)
         return self.has_free_time(waits, now)
@@ -106,20 +118,20 @@
             waits: Seconds until each engine is idle.
             now: Monotonic seconds.
         """
-        needed = (
+        needed_time = (
             self._prefill_load
             * self._decay(now)
-            * self._slack
+            * self._average_slack
             * HEADROOM_FACTOR
         )
-        if needed <= 0:
+        if needed_time <= 0:
             return True
-        free_time = sum(max(0.0, self._slack - wait) for wait in waits)
-        return free_time >= needed
+        free_time = sum(max(0.0, self._average_slack - wait) for wait in waits)
+        return free_time >= needed_time
 
     def places_to_reserve(self, now: float) -> float:
-        """Return the number of decode places to leave free."""
-        return self._request_rate * self._decay(now) * self._slack
+        """Return the expected number of decode places to leave free."""
+        return self._request_rate * self._decay(now) * self._average_slack
 
     def _decay(self, now: float) -> float:
         """Return the decay factor of the averages since their last update."""
