--- a/galenahatch/core/fairness.py
+++ b/galenahatch/core/fairness.py
@@ -13,10 +13,12 @@
 """Two-level weighted fair queue.
 
 The first level divides capacity among the urgency classes, the second among
-the callers of one class. Both use stride scheduling: serving a flow advances
-its virtual time by cost over weight, and the flow with the lowest virtual
-time is served next. A class with little traffic is therefore served
-immediately, and no class starves.
+the flows of one class. A flow is the queue of one caller's requests in one
+class. Both levels use stride scheduling: serving a request advances the
+virtual time of its class by cost over weight, and that of its flow by cost
+over the caller's share. The class, and in it the flow, with the lowest
+virtual time is served next. No class starves, and a class or flow gains no
+credit while it is empty, so that it can't hold back the others afterwards.
 """
 
 import collections
@@ -31,6 +33,7 @@
     states.Urgency.NORMAL: 8.0,
     states.Urgency.BULK: 1.0,
 }
+"""Weight of each urgency class."""
 
 
 class Item(typing.Protocol):
@@ -38,7 +41,7 @@
 
     @property
     def stream(self) -> ids.StreamId:
-        """Unique ID."""
+        """Unique ID of the request's attempt."""
 
     @property
     def caller(self) -> ids.CallerName:
@@ -50,7 +53,7 @@
 
     @property
     def share(self) -> float:
-        """Weight of the caller."""
+        """Weight of the caller within its class."""
 
     @property
     def cost(self) -> float:
@@ -65,6 +68,7 @@
 
     def __init__(self) -> None:
         self.items: collections.deque[_I] = collections.deque()
+        # Served cost over share; raised when the flow becomes non-empty.
         self.virtual_time = 0.0
         self.cost = 0.0
         self.share = 1.0
@@ -76,7 +80,10 @@
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
+        # Served cost over weight; raised when the class becomes non-empty.
         self.virtual_time = 0.0
+        # Virtual time of the flow served last; a flow that becomes non-empty
+        # starts no earlier.
         self.flow_virtual_time = 0.0
         self.flows: dict[ids.CallerName, _Flow[_I]] = {}
         self.flow_heap: list[tuple[float, ids.CallerName]] = []
@@ -86,13 +93,15 @@
 
 
 class FairQueue(typing.Generic[_I]):
-    """Fair queue of requests that wait for a place."""
+    """Fair queue of requests that wait for a pair of engines."""
 
     def __init__(self) -> None:
         self._classes: dict[states.Urgency, _Class[_I]] = {
             urgency: _Class(weight)
             for urgency, weight in CLASS_WEIGHTS.items()
         }
+        # Highest virtual time at which a class was served; a class that
+        # becomes non-empty starts no earlier.
         self._virtual_time = 0.0
         self._by_stream: dict[ids.StreamId, _I] = {}
 
@@ -127,7 +136,7 @@
         self._by_stream[item.stream] = item
 
     def heads(self) -> list[_I]:
-        """Return the next request of each class, in order of service."""
+        """Return the next request of each class, lowest virtual time first."""
         waiting = [
             urgency_class
             for urgency_class in self._classes.values()
@@ -140,7 +149,7 @@
         ]
 
     def serve(self, item: _I) -> None:
-        """Remove a head of the queue and charge its flow and class."""
+        """Remove the next request of a class; charge its flow and class."""
         urgency_class = self._classes[item.urgency]
         flow = self._next_flow(urgency_class)
         self._virtual_time = max(
@@ -170,11 +179,15 @@
         )
 
     def work_ahead(self, item: _I) -> float:
-        """Return the work that is served before a new request, in seconds.
+        """Estimate the queued work in seconds that is served before a request.
 
-        To the work of the more urgent classes this adds the smaller of two
-        bounds: all work of the request's own class, and the caller's own work
-        scaled up by the weight of the other callers.
+        The request is not yet queued. Less urgent classes are ignored.
+
+        Returns:
+            All work of the more urgent classes, plus the smaller of two
+            bounds for the request's own class: all work of the class, and
+            what the class serves, at the callers' shares, while it serves the
+            caller's queued work and the request, less the request itself.
         """
         urgency_class = self._classes[item.urgency]
         flow = urgency_class.flows.get(item.caller)
@@ -182,29 +195,35 @@
         other_shares = urgency_class.total_share - (
             flow.share if flow and flow.items else 0.0
         )
-        stretch = (other_shares + item.share) / item.share
+        # Work that the class serves per second of work of the caller.
+        class_work_ratio = (other_shares + item.share) / item.share
         class_work = min(
-            urgency_class.cost, own_work * stretch + item.cost * (stretch - 1)
+            urgency_class.cost,
+            own_work * class_work_ratio + item.cost * (class_work_ratio - 1),
         )
         return class_work + self._more_urgent_work(item.urgency)
 
     def items(self) -> typing.Iterator[_I]:
         """Iterate over all requests in arbitrary order."""
+        # A copy, so that the caller can remove requests meanwhile.
         return iter(list(self._by_stream.values()))
 
     def _more_urgent_work(self, urgency: states.Urgency) -> float:
         return sum(
             urgency_class.cost
             for other_urgency, urgency_class in self._classes.items()
+            # Lower values are more urgent.
             if other_urgency < urgency
         )
 
     def _next_flow(self, urgency_class: _Class[_I]) -> _Flow[_I]:
+        """Return the flow of a non-empty class that is served next."""
         while True:
             _, caller = urgency_class.flow_heap[0]
             flow = urgency_class.flows[caller]
             if flow.items:
                 return flow
+            # An empty flow may still be in the heap.
             heapq.heappop(urgency_class.flow_heap)
             flow.in_heap = False
 
@@ -217,6 +236,7 @@
         urgency_class.count -= 1
         if not flow.items:
             urgency_class.total_share -= flow.share
+            # Discard accumulated rounding errors, here and below.
             flow.cost = 0.0
         if not urgency_class.count:
             urgency_class.cost = 0.0
