--- a/galenahatch/core/leaving.py
+++ b/galenahatch/core/leaving.py
@@ -10,13 +10,17 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Leaving upstreams, merged from three sources.
+"""Tracks which upstreams are leaving, according to three sources.
 
-Each source versions its updates: the configuration by revision, the VM list
-by version, an engine's own report by incarnation and sequence number. Only
-newer updates of the same source are applied, and any one source suffices to
-mark an upstream as leaving, so a stale update or another source never
-reverts it.
+A leaving upstream gets no new work. An upstream is an engine, known by its
+name, or the URL of a plain service. The sources are the configuration, whose
+draining upstreams are leaving, the VM list and an engine's own reports.
+
+An upstream is leaving if at least one source says so. A source can withdraw
+only its own mark, and only with a newer update: configurations are ordered by
+revision, VM lists by version, an engine's reports by sequence number. An
+engine can't withdraw its mark within an incarnation, which is one run of the
+engine's process; a report of another incarnation replaces the former one.
 """
 
 import collections.abc
@@ -26,7 +30,7 @@
 
 
 class LeavingUpstreams:
-    """Latest update of each source."""
+    """Upstreams marked as leaving by the latest update of each source."""
 
     def __init__(self) -> None:
         self._revision = -1
@@ -38,7 +42,10 @@
     def record_configuration(
         self, revision: int, draining: collections.abc.Iterable[str]
     ) -> None:
-        """Record the draining upstreams of a configuration."""
+        """Record the draining upstreams of a configuration.
+
+        Ignored unless the revision is newer than the last recorded one.
+        """
         if revision > self._revision:
             self._revision = revision
             self._draining = frozenset(draining)
@@ -46,7 +53,10 @@
     def record_vm_list(
         self, version: int, addresses: collections.abc.Iterable[str]
     ) -> None:
-        """Record the leaving addresses in a version of the VM list."""
+        """Record the addresses of the leaving VMs in a version of the VM list.
+
+        Ignored unless the version is newer than the last recorded one.
+        """
         if version > self._vm_list_version:
             self._vm_list_version = version
             self._leaving_addresses = frozenset(addresses)
@@ -60,6 +70,7 @@
     ) -> None:
         """Record an engine's own report.
 
+        Ignored unless it is newer than the last one of its incarnation.
         Leaving is final within an incarnation.
         """
         previous = self._reports.get(engine)
@@ -72,16 +83,27 @@
     def leaving_engines(
         self, declared: collections.abc.Iterable[schema.Engine]
     ) -> frozenset[ids.EngineName]:
-        """Return the names of the leaving engines."""
+        """Return the names of the leaving engines.
+
+        Args:
+            declared: Engines declared in the configuration.
+        """
         return frozenset(
-            engine.name for engine in declared if self._is_leaving(engine)
+            engine.name
+            for engine in declared
+            if self._is_engine_leaving(engine)
         )
 
     def is_url_leaving(self, url: str, address: str) -> bool:
-        """Return whether an upstream of a plain service is leaving."""
+        """Return whether an upstream of a plain service is leaving.
+
+        Args:
+            url: URL of the upstream.
+            address: Host in the URL, compared with the VM addresses.
+        """
         return url in self._draining or address in self._leaving_addresses
 
-    def _is_leaving(self, engine: schema.Engine) -> bool:
+    def _is_engine_leaving(self, engine: schema.Engine) -> bool:
         report = self._reports.get(engine.name)
         return (
             engine.name in self._draining
