--- a/galenahatch/gateway/frames.py
+++ b/galenahatch/gateway/frames.py
@@ -10,7 +10,10 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Encoding of messages between gateways: a version byte, then MessagePack."""
+"""Encode and decode messages between gateways.
+
+A frame is one version byte followed by a message encoded with MessagePack.
+"""
 
 import typing
 
@@ -20,8 +23,9 @@
 from galenahatch.gateway import messages
 
 _VERSION: typing.Final = 1
-_MAX_BYTES: typing.Final = 4 * 1024 * 1024
-"""Largest frame that is accepted."""
+"""Version of the frames; raise it on every incompatible change to messages."""
+_MAX_FRAME_BYTES: typing.Final = 4 * 1024 * 1024
+"""Maximum size in bytes of a frame to decode, with its version byte."""
 
 AnyMessage = (
     messages.Heartbeat
@@ -48,6 +52,7 @@
     | messages.UpdateRequest
     | messages.Update
 )
+"""Every message that one gateway can send to another."""
 
 _VERSION_PREFIX: typing.Final = bytes([_VERSION])
 _ENCODER: typing.Final = msgspec.msgpack.Encoder()
@@ -60,12 +65,18 @@
 
 
 def decode(frame: bytes) -> AnyMessage | errors.Failure:
-    """Decode a frame; return a failure if it is invalid."""
-    if not frame or len(frame) > _MAX_BYTES:
+    """Decode the message in a frame.
+
+    Returns:
+        The message, or a failure with the reason `errors.BAD_FRAME` if the
+        frame is empty, too large, of another version or malformed.
+    """
+    if not frame or len(frame) > _MAX_FRAME_BYTES:
         return errors.Failure(errors.BAD_FRAME, f'{len(frame)} bytes')
     if frame[0] != _VERSION:
         return errors.Failure(errors.BAD_FRAME, f'version {frame[0]}')
     try:
+        # Deeply nested surplus fields raise RecursionError.
         return _DECODER.decode(memoryview(frame)[1:])
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return errors.Failure(errors.BAD_FRAME, str(error))
