--- a/galenahatch/gateway/prefill.py
+++ b/galenahatch/gateway/prefill.py
@@ -34,13 +34,16 @@
 from galenahatch.platform import wire
 
 _CONNECT_TIMEOUT_S: typing.Final = 0.3
-"""Connections take a few ms within a region."""
+"""Limit on connecting to a prefill engine, in seconds. Connections take a few
+ms within a region."""
 _PREFILL_TIMEOUT_S: typing.Final = 1.2
-"""The users' largest prompts take 0.2 s."""
+"""Limit on a prefill request, in seconds. The users' largest prompts take
+0.2 s."""
 _USABLE_TTL_SHARE: typing.Final = 0.8
 """Share of a handle's TTL in which it is still passed to a decode engine; the
 rest is left for the transfer."""
-_FREE_TIMEOUT_S: typing.Final = 1.0
+_DELETE_TIMEOUT_S: typing.Final = 1.0
+"""Limit on a request to delete an unused handle, in seconds."""
 _log = logs.Log('prefill')
 
 
@@ -51,9 +54,10 @@
     Attributes:
         avoid: Engine that further attempts avoid.
         at_fault: Engines that may have caused the failure.
-        unreachable: Whether no connection to the avoided engine was possible.
-        disconnected: Engine whose connection broke soon after it had begun
-            the request, if any.
+        unreachable: Whether sending failed before a byte reached the avoided
+            engine.
+        disconnected: The engine, if its connection broke soon after it had
+            begun the request; otherwise None.
     """
 
     avoid: ids.UpstreamId
@@ -67,7 +71,8 @@
     """Prefill of one request.
 
     Attributes:
-        engine: Engine of the last prefill, or empty.
+        engine: ID of the engine that ran the last successful prefill, or
+            empty.
     """
 
     def __init__(
@@ -88,15 +93,19 @@
         self.engine = ids.UpstreamId('')
 
     def extra_sends(self) -> int:
-        """Return how many sends beyond the first another prefill would take.
+        """Return how many sends the next prefill takes from the retry budget.
 
-        The first prefill takes nothing from the retry budget, and neither
-        does a send that did not reach an engine.
+        It is 1 for a repeated prefill. It is 0 if no prefill request has
+        reached an engine yet, or if no further prefill is needed because a
+        result can still be fetched.
         """
         return int(self._attempts > 0 and not self.kv_source())
 
     def kv_source(self) -> str:
-        """Return address and handle of a result that can still be fetched."""
+        """Return `address/handle` of the result.
+
+        The string is empty if there is no result that can still be fetched.
+        """
         return self._kv_source if clock.now() < self._fetch_by else ''
 
     def mark_fetched(self) -> None:
@@ -112,8 +121,8 @@
     ) -> Retry | None:
         """Run the prefill and store the handle of its result.
 
-        The retry budget for a repeated prefill was granted together with the
-        engines (`extra_sends`).
+        Does not check the retry budget: the owner granted the sends in
+        `extra_sends` when it placed the request.
         """
         started_at = clock.now()
         if not self._context.directory.registry.accepts_work(
@@ -202,7 +211,7 @@
                 'DELETE',
                 address,
                 engines.handle_path(handle),
-                _FREE_TIMEOUT_S,
+                _DELETE_TIMEOUT_S,
             )
             if isinstance(reply, errors.Failure):
                 _log.warning(
