--- a/galenahatch/gateway/node.py
+++ b/galenahatch/gateway/node.py
@@ -15,6 +15,8 @@
 Request handling, placement and membership are components of one program, each
 with its own tasks and state. On small VMs, a second process would cost memory
 and an extra hop for each request, and would also need supervision.
+
+The owner is the gateway that all gateways ask to place their generations.
 """
 
 import asyncio
@@ -56,20 +58,22 @@
 METRICS_PORT: typing.Final = 9464
 """Port of the metrics; the deployment file names the same port."""
 _BALANCER_DRAIN_S: typing.Final = 2.6
-"""Seconds for which a stopping gateway accepts new callers and streams. The
-load balancer checks once a second and stops using a gateway after two negative
-answers."""
+"""Minimum seconds for which a stopping gateway accepts new connections, unless
+it must exit sooner, and the seconds after which it rejects all new streams.
+The load balancer checks readiness once a second and stops using a gateway
+after two negative answers; the rest is a margin."""
 _EXIT_MARGIN_S: typing.Final = 0.4
 """Seconds before the end of the grace period at which the process exits."""
 _NO_NEW_CALLERS_S: typing.Final = 1.0
-"""Seconds before this exit at which new callers are no longer accepted. Open
-requests are answered, or refused if they would take too long."""
+"""Seconds before the exit from which new connections are refused. Requests
+already received are answered, or rejected if they would take too long."""
 _ABORT_TIMEOUT_S: typing.Final = 0.05
 """Seconds for requests still in flight at the end to handle their abort."""
 _IDLE_CHECK_INTERVAL_S: typing.Final = 0.05
 """Seconds between two checks whether the gateway may exit."""
 _MAX_COUNTED_CHECK_S: typing.Final = 2 * _IDLE_CHECK_INTERVAL_S
-"""Most seconds of one check interval that count as run time of the process."""
+"""Upper limit on the seconds counted for one check interval. Time beyond it is
+taken as time in which the process was suspended."""
 _REFRESH_INTERVAL_S: typing.Final = 1.0
 """Seconds between two updates of the members and known upstreams."""
 _log = logs.Log('gateway')
@@ -121,10 +125,10 @@
         self._sender.on_response_head = self._record_answer
         self._directory.on_restart(self._cancel_waits)
         bounds = settings.bounds
-        self._budget = retrybudget.LocalBudget(
+        self._local_retry_budget = retrybudget.LocalBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
-        self._grants = retrybudget.OwnerBudget(
+        self._owner_retry_budget = retrybudget.OwnerBudget(
             bounds.retry_ratio, bounds.retry_reserve, bounds.retry_window
         )
         self._accounts = accounts_module.Accounts(
@@ -133,7 +137,7 @@
         self._owner_client = owner_client.OwnerClient(
             self._directory,
             settings.data_centre,
-            self._grants,
+            self._owner_retry_budget,
             self._accounts,
             self._rate_limits.limiter,
             self._notices.pauses_left,
@@ -234,7 +238,7 @@
                 directory=self._directory,
                 sender=self._sender,
                 balancer=self._balancer,
-                budget=self._budget,
+                budget=self._local_retry_budget,
                 owner_client=self._owner_client,
                 guard=self._guard,
                 accounts=self._accounts,
@@ -260,17 +264,20 @@
     async def _refresh(self) -> None:
         """Update the number of members and discard removed upstreams."""
         while True:
-            self._budget.set_members(self._mesh.size)
-            self._grants.set_members(self._mesh.size)
+            self._local_retry_budget.set_members(self._mesh.size)
+            self._owner_retry_budget.set_members(self._mesh.size)
             known = self._directory.registry.upstreams
             self._balancer.prune(known)
             self._exchange.prune(known)
             self._rate_limits.prune(known)
-            self._notices.forget(known)
+            self._notices.prune(known)
             await asyncio.sleep(_REFRESH_INTERVAL_S)
 
     def reload(self) -> None:
-        """Read the settings file again and log whether it has changed."""
+        """Read the settings file again and log whether it has changed.
+
+        The settings in use stay as they are.
+        """
         settings = deployment.load(self._path)
         if isinstance(settings, errors.Failure):
             _log.error('Settings kept.', detail=settings.detail)
@@ -289,9 +296,10 @@
     async def _wait_for_balancer(self, exit_at: float) -> None:
         """Accept callers until the load balancer has stopped sending them.
 
-        Time in which this process did not run doesn't count, since the
-        balancer's readiness checks were not answered. Streams are refused
-        from a fixed time on, since their callers are told where to turn.
+        Time in which the process was suspended is not counted, since the
+        balancer's readiness checks were not answered then. New streams are
+        nevertheless rejected from a fixed time on (`HttpFrontend.drain`),
+        since the rejection sends their callers to another gateway.
         """
         remaining = _BALANCER_DRAIN_S
         while remaining > 0 and clock.now() < exit_at - _NO_NEW_CALLERS_S:
@@ -331,6 +339,7 @@
 
 
 def _record_era(before: int | None, after: int) -> None:
+    """Record the store's era, which rises when an older copy is restored."""
     instruments.store_era.set(after)
     if before is not None:
         instruments.store_restores.add(after - before)
--- a/galenahatch/gateway/notices.py
+++ b/galenahatch/gateway/notices.py
@@ -149,7 +149,7 @@
     def _paused_seconds(self) -> dict[str, float]:
         return dict(list(self.pauses_left().items())[:_MAX_ANNOUNCED])
 
-    def forget(self, known: typing.Container[ids.UpstreamId]) -> None:
+    def prune(self, known: typing.Container[ids.UpstreamId]) -> None:
         """Discard expired announcements and data of removed upstreams."""
         now = clock.now()
         for upstream, since in list(self._leaving_since.items()):
