--- a/galenahatch/messages.py
+++ b/galenahatch/messages.py
@@ -61,14 +61,16 @@
 
 
 class PlaceRequest(Message, frozen=True, array_like=True, tag=True):
-    """Requests a pair of engines from a cell's owner.
+    """Requests a pair of engines from the owner of a cell.
+
+    A cell is a group of engines that are scheduled together.
 
     Attributes:
         request: id of the request.
         stream: id of the attempt and of its reservation.
         entry: id of the requesting entry, for orphan detection.
         service: model service.
-        site: site whose overlay limits the engines.
+        site: site whose configuration overlay restricts the engines.
         caller: caller's name, for fair queueing.
         urgency: urgency class.
         prompt_tokens: estimated length of the prompt in tokens.
@@ -120,7 +122,8 @@
         reason: name of the reason in the registry of errors.
         retry_after: seconds until capacity is expected.
         explanation: state of the queue, for the log.
-        ticket: ticket to send with a retry, or empty.
+        ticket: ticket for a retry, which is served before the others of its
+            class if it comes in time; or empty.
     """
 
     stream: ids.StreamId
@@ -177,7 +180,7 @@
 
 
 class HeldReport(Message, frozen=True, array_like=True, tag=True):
-    """Complete list of an entry's attempts that concern one scheduler.
+    """Lists all of an entry's attempts that a scheduler owns or watches.
 
     Attributes:
         owned: attempts in cells that the scheduler owns, from which it
@@ -193,7 +196,10 @@
 
 
 class Watch(Message, frozen=True, array_like=True, tag=True):
-    """Tells a watcher of an attempt before its work goes to an engine."""
+    """Asks a scheduler to watch an attempt before it goes to an engine.
+
+    The scheduler cancels the attempt if the entry is gone.
+    """
 
     entry: ids.MemberId
     incarnation: int
@@ -208,10 +214,11 @@
 
 
 class ClaimRequest(Message, frozen=True, array_like=True, tag=True):
-    """Requests a claim on a key for one run.
+    """Asks a scheduler to claim an idempotency key for one run.
 
     Attributes:
-        fingerprint: digest of the body, which detects a reused key.
+        token: unique id of this claim.
+        fingerprint: digest of path and body, to detect a reused key.
         holder: entry that will run the request.
         incarnation: incarnation of the holder; a restarted entry has lost its
             claims.
@@ -237,7 +244,8 @@
     """Removes a claim that was never dispatched; VoidReply confirms it.
 
     Attributes:
-        record: the record that the table holds if the claim was written.
+        record: the record that the table holds if the claim was written;
+            a different one is not removed.
     """
 
     key: ids.ClaimKey
@@ -246,7 +254,7 @@
 
 
 class VoidReply(Message, frozen=True, array_like=True, tag=True):
-    """Tells whether the table is known to hold no such claim."""
+    """Reply to a ClaimVoid: whether the table surely holds no such claim."""
 
     key: ids.ClaimKey
     token: ids.ClaimToken
@@ -254,11 +262,12 @@
 
 
 class ClaimDone(Message, frozen=True, array_like=True, tag=True):
-    """Marks a claim as finished; large answers are in the object store.
+    """Marks a claim as finished.
 
     Attributes:
-        expected_record: the record that the table holds now.
-        record: the finished record.
+        expected_record: the record that the table must still hold.
+        record: the finished record with the answer, or with its key in the
+            object store if it is large.
     """
 
     key: ids.ClaimKey
@@ -268,7 +277,7 @@
 
 
 class DoneReply(Message, frozen=True, array_like=True, tag=True):
-    """Tells whether the table holds the finished record."""
+    """Reply to a ClaimDone: whether nothing is left to write."""
 
     key: ids.ClaimKey
     token: ids.ClaimToken
@@ -276,7 +285,7 @@
 
 
 class ClaimQuery(Message, frozen=True, array_like=True, tag=True):
-    """Queries the holder of a claim for its state, through a scheduler.
+    """Queries the state of a claim from its holder, through a scheduler.
 
     Attributes:
         record: the record that the table holds.
