--- a/runtests.py
+++ b/runtests.py
@@ -10,10 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Runs every check by name: `runtests.py [NAME ...]`.
+"""Runs the named checks: `runtests.py [NAME ...]`.
 
-Without names it runs the checks of CI. All named checks run even if one
-fails; the exit code is 1 if any failed, and 2 if a name is unknown.
+Without names, runs those of CI; fuzz, faults and mutations run only when
+named. All named checks run even if one fails; the exit code is 1 if any
+failed, and 2 if a name is unknown.
 """
 
 import ast
@@ -26,10 +27,12 @@
 
 ROOT: typing.Final = pathlib.Path(__file__).resolve().parent
 CODE: typing.Final = ('galenahatch', 'bench', 'runtests.py')
+# Tests that are known to fail, one a line: the pytest node id, a comma, then
+# the command and seed, what was seen, and the issue.
 KNOWN_RED: typing.Final = ROOT / 'KNOWN-RED.txt'
-MOST_KNOWN_RED: typing.Final = 3
-# Modules for I/O, threads and clocks, which the core must not import.
-OUTSIDE: typing.Final = (
+MAX_KNOWN_RED: typing.Final = 3
+# Libraries for I/O, threads and clocks, which the core must not import.
+CORE_FORBIDDEN_LIBRARIES: typing.Final = (
     'aiohttp',
     'asyncio',
     'datetime',
@@ -38,34 +41,40 @@
     'time',
     'zmq',
 )
-ABOVE_CORE: typing.Final = (
+# Modules and packages of galenahatch that the core must not import.
+CORE_FORBIDDEN_MODULES: typing.Final = (
     'galenahatch.clock',
     'galenahatch.logs',
     'galenahatch.metrics',
     'galenahatch.platform',
     'galenahatch.upstream',
 )
-BELOW_PROGRAMS: typing.Final = ('core', 'platform', 'upstream')
+# Packages that must not import PROGRAMS.
+PACKAGES_WITHOUT_PROGRAMS: typing.Final = ('core', 'platform', 'upstream')
 PROGRAMS: typing.Final = ('entry', 'scheduler', 'controller', 'ctl', 'main')
 
-# Headers, calls and fields of the platform; only its adapter may use them.
+# Headers, calls and fields of the users' platform. Only its adapter,
+# galenahatch/platform, and galenahatch/test may use them.
 PLATFORM_NAMES: typing.Final = re.compile(
     r'X-Galenahatch-|\brows-(tx|get|feed)|\bblob-|\b(kv_handle|kv_hold_s|'
     r'next_token|create_rev|set_keys|seq_no|max_conns|gap_aim_ms|'
     r'target_latency_ms|cold_left_ms|retry_slack|budget_window_s)\b'
 )
-# The platform's terms for VM, data centre, customer and upstream.
+# The platform's terms for VM (machine), data centre (zone), customer (tenant)
+# and upstream (back end). 'state machine' is allowed.
 PLATFORM_WORDS: typing.Final = re.compile(
     r'(?<!state )\b(zone|tenant|machine|back ?end)s?\b', re.IGNORECASE
 )
 
-# Tests sleep most of the time, and each has its own ports and addresses. Each
-# starts up to ten processes, so half of the processors are left for them.
+# Parallel pytest workers. Tests sleep most of the time, and each has ports and
+# addresses of its own. Each starts up to ten processes; half of the CPUs are
+# left to those.
 WORKERS: typing.Final = max(1, min(6, (os.cpu_count() or 1) // 2))
 
-MODULE_LINES: typing.Final = 430
-FUNCTION_LINES: typing.Final = 45
+MAX_MODULE_LINES: typing.Final = 430
+MAX_FUNCTION_LINES: typing.Final = 45
 
+# A check returns its exit code; 0 means that it passed.
 Check = typing.Callable[[], int]
 
 
@@ -103,15 +112,21 @@
 
 
 def _layers() -> int:
-    """Check that imports lead only from programs to clients to the core."""
+    """Check the direction of imports.
+
+    The core imports neither libraries for I/O, threads and clocks nor outer
+    layers. The core, the platform and the upstream package import no program.
+    """
     violations = []
     package = ROOT / 'galenahatch'
     for path in sorted((package / 'core').glob('*.py')):
         for name in sorted(_imported_modules(path)):
-            if _is_in_modules(name, (*OUTSIDE, *ABOVE_CORE)):
+            if _is_in_modules(
+                name, (*CORE_FORBIDDEN_LIBRARIES, *CORE_FORBIDDEN_MODULES)
+            ):
                 violations.append(f'{path.relative_to(ROOT)}: {name}')
     programs = [f'galenahatch.{name}' for name in PROGRAMS]
-    for layer in BELOW_PROGRAMS:
+    for layer in PACKAGES_WITHOUT_PROGRAMS:
         for path in sorted((package / layer).glob('*.py')):
             for name in sorted(_imported_modules(path)):
                 if _is_in_modules(name, programs):
@@ -141,17 +156,17 @@
 
 
 def _sizes() -> int:
-    """Check modules and functions against the limits on their lines."""
+    """Check that modules, except tests, and functions aren't too long."""
     violations = []
     for path in sorted((ROOT / 'galenahatch').rglob('*.py')):
         text = path.read_text()
         lines = len(text.splitlines())
-        if lines > MODULE_LINES and 'test' not in path.parts:
+        if lines > MAX_MODULE_LINES and 'test' not in path.parts:
             violations.append(f'{path.relative_to(ROOT)}: {lines} lines')
         for node in ast.walk(ast.parse(text)):
             if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
                 length = (node.end_lineno or 0) - node.lineno + 1
-                if length > FUNCTION_LINES:
+                if length > MAX_FUNCTION_LINES:
                     location = f'{path.relative_to(ROOT)}:{node.lineno}'
                     violations.append(
                         f'{location}: {node.name} {length} lines'
@@ -177,7 +192,7 @@
 def _tests() -> int:
     """Run the tests; print the known failures instead of running them."""
     known_red = _known_red()
-    if len(known_red) > MOST_KNOWN_RED:
+    if len(known_red) > MAX_KNOWN_RED:
         print('KNOWN-RED.txt has more than three lines')
         return 1
     flags = []
