--- a/galenahatch/console.py
+++ b/galenahatch/console.py
@@ -10,7 +10,11 @@
 # License for the specific language governing permissions and limitations
 # under the License.
 
-"""Clients, output and exit codes shared by the operators' commands."""
+"""Shared code of the `galenahatchctl` commands.
+
+Clients of the platform, output and exit codes. The daemons exit with
+USAGE_ERROR too.
+"""
 
 import asyncio
 import collections.abc
@@ -29,9 +33,12 @@
 from galenahatch.platform import vms
 
 SUCCESS: typing.Final = 0
+# Any failure that has no other code.
 REFUSED: typing.Final = 1
 USAGE_ERROR: typing.Final = 2
 CONFLICT: typing.Final = 3
+# The change may or may not be accepted, or it is accepted but not yet in force
+# everywhere.
 UNKNOWN: typing.Final = 4
 UNAVAILABLE: typing.Final = 5
 _EXIT_CODES: typing.Final = {
@@ -61,7 +68,11 @@
         self.vms = vms.VmListClient(client, options.vms_url)
 
     async def scheduler_addresses(self) -> list[str]:
-        """Return the IP addresses of VMs that may run a scheduler."""
+        """Return the sorted IP addresses of VMs that may run a scheduler.
+
+        These are the configured peers and the VMs of the system group. If the
+        VM list can't be read, they are the peers alone.
+        """
         listed = await self.vms.read()
         addresses = set(self.options.peers)
         if not isinstance(listed, errors.Failure):
@@ -79,6 +90,7 @@
 def run(settings: options_module.Options | None, command: Command) -> int:
     """Run a command with platform clients and return its exit code."""
     options = settings or options_module.Options()
+    # Only the first invalid setting is reported.
     for failure in options_module.find_problems(options):
         return report(failure)
 
@@ -90,7 +102,7 @@
 
 
 def report(failure: errors.Failure) -> int:
-    """Print a failure and return its exit code."""
+    """Print a failure to stderr and return its exit code."""
     print(
         f'galenahatchctl: {failure.reason.name}: {failure.reason.message} '
         f'{failure.detail}'.rstrip(),
