--- a/bench/path.py
+++ b/bench/path.py
@@ -12,10 +12,13 @@
 
 """Measures the overhead of the entry and the scheduler.
 
-A client streams completions alternately through an entry and directly from
-the same stand-in engines, and compares the time to the first token and the
-time between tokens. Then the processor time of the entry and of the scheduler
-is measured at several loads and fitted to requests and tokens.
+The entry is the HTTP front end, which serves requests of callers through
+schedulers and upstreams. A client streams completions alternately directly
+from stand-in engines and through an entry to the same engines, and compares
+the time to the first token and the time between tokens. Then the processor
+time of the entry and of the scheduler is measured at several loads, and the
+cost per request and per token is fitted by least squares. Finally, the
+throughput of a single entry is measured under load from several processes.
 """
 
 import asyncio
@@ -35,6 +38,7 @@
 
 _COMPARED_PAIRS: typing.Final = 60
 _OUTPUT_TOKENS: typing.Final = 40
+# Concurrent requests and max_tokens of each load.
 _LOADS: typing.Final = ((4, 40), (8, 40), (16, 40), (8, 120))
 _RUN_S: typing.Final = 6.0
 _CLIENT_PROCESSES: typing.Final = 3
@@ -63,6 +67,11 @@
 async def _read_timing(
     lines: aiohttp.StreamReader, started_at: float, marker: bytes
 ) -> Timing:
+    """Time the lines that contain a marker; each counts as one token.
+
+    This is not exact. The entry joins tokens that arrive together into one
+    line. The end marker of an engine has an empty text and counts too.
+    """
     arrival_times = []
     async for line in lines:
         if marker in line:
@@ -78,11 +87,11 @@
     client: aiohttp.ClientSession,
     running: deployment.Deployment,
     prompt: str,
-    stream: str,
+    stream_id: str,
 ) -> Timing:
     started_at = time.monotonic()
     call = {
-        'stream': stream,
+        'stream': stream_id,
         'prompt': prompt,
         'generated': [],
         'priority': 1,
@@ -91,7 +100,7 @@
     async with client.post(url, data=msgspec.json.encode(call)) as response:
         await response.read()
     body = {
-        'stream': stream,
+        'stream': stream_id,
         'source': running.urls['p1'],
         'max_tokens': _OUTPUT_TOKENS,
         'priority': 1,
@@ -105,13 +114,13 @@
     client: aiohttp.ClientSession,
     entry: str,
     prompt: str,
-    tokens: int = _OUTPUT_TOKENS,
+    max_tokens: int = _OUTPUT_TOKENS,
 ) -> Timing:
     started_at = time.monotonic()
     body = {
         'model': 'log-reader',
         'prompt': prompt,
-        'max_tokens': tokens,
+        'max_tokens': max_tokens,
         'stream': True,
     }
     url = entry + '/v1/completions'
@@ -178,7 +187,7 @@
     core_share: float = 0.0
 
 
-async def _run_load(entry: str, concurrency: int, tokens: int) -> _Sample:
+async def _run_load(entry: str, concurrency: int, max_tokens: int) -> _Sample:
     """Keep a number of requests in flight, and return their rates."""
     sample = _Sample()
     deadline = time.monotonic() + _RUN_S
@@ -189,11 +198,11 @@
     ) -> None:
         count = 0
         while time.monotonic() < deadline:
-            prompt = f'load {number} {count} {concurrency} {tokens}'
-            await _call_entry(client, entry, prompt, tokens)
-            length, _ = model.length_of(prompt, tokens)
+            prompt = f'load {number} {count} {concurrency} {max_tokens}'
+            await _call_entry(client, entry, prompt, max_tokens)
+            output_tokens, _ = model.length_of(prompt, max_tokens)
             sample.requests += 1
-            sample.tokens += length
+            sample.tokens += output_tokens
             count += 1
 
     connector = aiohttp.TCPConnector(limit=0)
@@ -209,10 +218,12 @@
 
 def _print_slopes(running: deployment.Deployment) -> None:
     samples: dict[str, list[_Sample]] = {'entry0': [], 'scheduler0': []}
-    for concurrency, tokens in _LOADS:
+    for concurrency, max_tokens in _LOADS:
         before = {n: _cpu_seconds(running, n) for n in samples}
         started_at = time.monotonic()
-        load = asyncio.run(_run_load(running.entry_url(), concurrency, tokens))
+        load = asyncio.run(
+            _run_load(running.entry_url(), concurrency, max_tokens)
+        )
         seconds = time.monotonic() - started_at
         for name, daemon_samples in samples.items():
             core_share = (_cpu_seconds(running, name) - before[name]) / seconds
@@ -234,7 +245,11 @@
 
 
 def _print_single_entry_throughput(running: deployment.Deployment) -> None:
-    """Print the throughput of one entry that is the bottleneck."""
+    """Print the throughput of one entry that is the bottleneck.
+
+    Several client processes load it, and main() starts enough engines to have
+    a place for every request.
+    """
     before = _cpu_seconds(running, 'entry0')
     started_at = time.monotonic()
     with concurrent.futures.ProcessPoolExecutor(_CLIENT_PROCESSES) as pool:
@@ -284,6 +299,8 @@
     with deployment.Deployment(1, engines) as running:
         asyncio.run(_print_comparison(running))
         _print_slopes(running)
+    # One engine of each role for each client process, which sends fewer
+    # concurrent requests than an engine has places.
     engine_specs = [
         deployment.EngineSpec(f'{role[0]}{number}', role, params=_FAST_ENGINE)
         for role in ('prefill', 'decode')
