--- a/galenahatch/test/test_fuzz_cell.py
+++ b/galenahatch/test/test_fuzz_cell.py
@@ -22,10 +22,12 @@
 
 from hypothesis import stateful
 from hypothesis import strategies
+import pytest
 
 from galenahatch.core import cell as cell_module
 from galenahatch.core import health
 from galenahatch.core import jobs
+from galenahatch import errors
 from galenahatch import ids
 from galenahatch import messages
 from galenahatch import schema
@@ -57,6 +59,86 @@
 _NAMES = frozenset(engine.name for engine in _ENGINES)
 
 
+def _cell() -> cell_module.Cell:
+    service = schema.ModelService(ids.ServiceName('x'), 'm')
+    cell = cell_module.Cell(service, random.Random(1))
+    cell.configure(service, _ENGINES, {_SITE: _NAMES})
+    return cell
+
+
+def _request(number: int) -> messages.PlaceRequest:
+    return messages.PlaceRequest(
+        request=ids.RequestId(f'r{number}'),
+        stream=ids.StreamId(f'r{number}.1'),
+        entry=ids.MemberId(_ENTRIES[0]),
+        service=ids.ServiceName('x'),
+        site=_SITE,
+        caller=ids.CallerName('a'),
+        urgency=states.Urgency.NORMAL,
+        prompt_tokens=100,
+        output_tokens=10,
+        first_token_timeout=60.0,
+        blocks=(),
+        avoided_engines=(),
+        data_centre=ids.DataCentre('zogno'),
+    )
+
+
+def _names(*names: str) -> frozenset[ids.EngineName]:
+    return frozenset(ids.EngineName(name) for name in names)
+
+
+@pytest.mark.parametrize(
+    'leaving', [_names('p1'), _names('d1'), _names('p1', 'd1')]
+)
+def test_leaving_engine_gets_no_request(
+    leaving: frozenset[ids.EngineName],
+) -> None:
+    """The other engine of its role gets all of them."""
+    cell = _cell()
+    cell.set_leaving(leaving)
+    now = 1000.0
+    for number in range(_PLACES):
+        assert cell.submit(_request(number), 1.0, now) is None
+    answers = []
+    for _ in range(10):
+        answers += [decision.answer for decision in cell.decide(now)]
+        now += 0.5
+    assert len(answers) == _PLACES
+    for answer in answers:
+        assert isinstance(answer, messages.Placed)
+        assert answer.prefill not in leaving
+        assert answer.decode not in leaving
+
+
+@pytest.mark.parametrize('leaving', [_names('p1', 'p2'), _names('d1', 'd2')])
+def test_leaving_role_gets_no_request(
+    leaving: frozenset[ids.EngineName],
+) -> None:
+    """If all engines of a role leave, requests are refused at once.
+
+    Two checks keep requests off leaving engines. `pairing._candidates`
+    filters them out before it calls `pairing.accepts_work`, so a placement
+    alone can't show that `accepts_work` looks at `leaving`. In
+    `Cell.submit`, `accepts_work` alone decides: without its check a new
+    request is queued, and refused only when the cell next decides.
+    """
+    cell = _cell()
+    now = 1000.0
+    assert cell.submit(_request(0), 1.0, now) is None
+    cell.set_leaving(leaving)
+    for number in range(1, 4):
+        decision = cell.submit(_request(number), 1.0, now)
+        assert decision is not None, 'queued for engines that leave'
+        assert isinstance(decision.answer, messages.GivenUp)
+        assert decision.answer.reason == errors.NO_ENGINE.name
+    # The request that was queued before they left isn't placed either.
+    answers = [decision.answer for decision in cell.decide(now)]
+    assert [answer.stream for answer in answers] == [_request(0).stream]
+    assert isinstance(answers[0], messages.GivenUp)
+    assert answers[0].reason == errors.NO_ENGINE.name
+
+
 class CellMachine(stateful.RuleBasedStateMachine):
     """One cell and its entries."""
 
